--- a/src/admission/class-queue.ts
+++ b/src/admission/class-queue.ts
@@ -7,7 +7,7 @@
 import { createBoundedMap } from '../utils/bounded-map.js';
 import type { Ticket } from './ticket.js';
 
-const COUNTERS_KEPT = 4096;
+const TOKEN_COUNTERS_MAX = 4096;
 
 /** The queue of one class in one shard. */
 export interface ClassQueue {
@@ -17,11 +17,11 @@
    * The ticket that is next, left in place: by fair share among organisations, oldest first, of those
    * that `isPromising` holds for; where it holds for none, the one with most time left.
    */
-  find(isPromising: (ticket: Ticket) => boolean): Ticket | undefined;
+  findNext(isDeadlineSafe: (ticket: Ticket) => boolean): Ticket | undefined;
   /** The newest ticket of the organisation with most waiting: what a full queue sheds. */
-  findMostQueued(): Ticket | undefined;
+  findShedCandidate(): Ticket | undefined;
   /** Adds tokens, divided by weight, to an organisation's counter; negative to settle. */
-  record(organisation: string, tokens: number): void;
+  addTokens(organisation: string, tokens: number): void;
   count(): number;
   countOf(organisation: string): number;
   /** Organisations with something waiting. */
@@ -31,15 +31,15 @@
 
 /** Builds an empty queue. */
 export function createClassQueue(): ClassQueue {
-  const waiting = new Map<string, Ticket[]>();
+  const queues = new Map<string, Ticket[]>();
   /** Waiting tickets of broken answers, oldest first. */
-  const broken = new Map<string, Ticket>();
+  const resumedTickets = new Map<string, Ticket>();
   const organisationOf = new Map<string, string>();
-  const counters = createBoundedMap<string, number>(COUNTERS_KEPT);
+  const counters = createBoundedMap<string, number>(TOKEN_COUNTERS_MAX);
 
-  function computeLowestCounter(): number {
+  function computeLowestWaitingCounter(): number {
     let lowest = Infinity;
-    for (const organisation of waiting.keys()) {
+    for (const organisation of queues.keys()) {
       lowest = Math.min(lowest, counters.get(organisation) ?? 0);
     }
     return lowest === Infinity ? 0 : lowest;
@@ -47,7 +47,7 @@
 
   function findLatestExpiry(): Ticket | undefined {
     let best: Ticket | undefined;
-    for (const ticket of [...waiting.values()].flat()) {
+    for (const ticket of [...queues.values()].flat()) {
       if (best === undefined || ticket.expiresMs > best.expiresMs) best = ticket;
     }
     return best;
@@ -55,53 +55,53 @@
 
   return {
     add(ticket) {
-      let queue = waiting.get(ticket.organisation);
+      let queue = queues.get(ticket.organisation);
       if (queue === undefined) {
-        const lowest = computeLowestCounter();
+        const lowest = computeLowestWaitingCounter();
         counters.set(ticket.organisation, Math.max(counters.get(ticket.organisation) ?? 0, lowest));
         queue = [];
-        waiting.set(ticket.organisation, queue);
+        queues.set(ticket.organisation, queue);
       }
       queue.push(ticket);
-      if (ticket.isResumed) broken.set(ticket.ticketId, ticket);
+      if (ticket.isResumed) resumedTickets.set(ticket.ticketId, ticket);
       organisationOf.set(ticket.ticketId, ticket.organisation);
     },
     remove(ticketId) {
       const organisation = organisationOf.get(ticketId);
-      const queue = organisation === undefined ? undefined : waiting.get(organisation);
+      const queue = organisation === undefined ? undefined : queues.get(organisation);
       if (organisation === undefined || queue === undefined) return undefined;
       organisationOf.delete(ticketId);
-      broken.delete(ticketId);
+      resumedTickets.delete(ticketId);
       const index = queue.findIndex((ticket) => ticket.ticketId === ticketId);
       const [ticket] = queue.splice(index, 1);
-      if (queue.length === 0) waiting.delete(organisation);
+      if (queue.length === 0) queues.delete(organisation);
       return ticket;
     },
-    find(isPromising) {
-      const [resumed] = broken.values();
+    findNext(isDeadlineSafe) {
+      const [resumed] = resumedTickets.values();
       if (resumed !== undefined) return resumed;
-      const byShare = [...waiting.keys()].sort(
+      const byCounter = [...queues.keys()].sort(
         (a, b) => (counters.get(a) ?? 0) - (counters.get(b) ?? 0),
       );
-      for (const organisation of byShare) {
-        const found = waiting.get(organisation)?.find(isPromising);
+      for (const organisation of byCounter) {
+        const found = queues.get(organisation)?.find(isDeadlineSafe);
         if (found !== undefined) return found;
       }
       return findLatestExpiry();
     },
-    findMostQueued() {
+    findShedCandidate() {
       let longest: Ticket[] = [];
-      for (const queue of waiting.values()) {
+      for (const queue of queues.values()) {
         if (queue.length > longest.length) longest = queue;
       }
       return longest.at(-1);
     },
-    record(organisation, tokens) {
+    addTokens(organisation, tokens) {
       counters.set(organisation, (counters.get(organisation) ?? 0) + tokens);
     },
     count: () => organisationOf.size,
-    countOf: (organisation) => waiting.get(organisation)?.length ?? 0,
-    countOrganisations: () => waiting.size,
-    list: () => [...waiting.values()].flat(),
+    countOf: (organisation) => queues.get(organisation)?.length ?? 0,
+    countOrganisations: () => queues.size,
+    list: () => [...queues.values()].flat(),
   };
 }
--- a/src/admission/departure-rate.ts
+++ b/src/admission/departure-rate.ts
@@ -16,23 +16,23 @@
 /** Builds a rate that has seen nothing. */
 export function createDepartureRate(): DepartureRate {
   let windowStartMs: number | undefined;
-  let departed = 0;
+  let departures = 0;
   let rate: number | undefined;
 
   function advance(nowMs: number): void {
     windowStartMs ??= nowMs;
     const elapsedMs = nowMs - windowStartMs;
     if (elapsedMs < WINDOW_MS) return;
-    const seen = departed / elapsedMs;
-    rate = rate === undefined ? seen : rate + (seen - rate) * WINDOW_ALPHA;
+    const windowRate = departures / elapsedMs;
+    rate = rate === undefined ? windowRate : rate + (windowRate - rate) * WINDOW_ALPHA;
     windowStartMs = nowMs;
-    departed = 0;
+    departures = 0;
   }
 
   return {
     record(nowMs) {
       advance(nowMs);
-      departed += 1;
+      departures += 1;
     },
     compute(nowMs) {
       advance(nowMs);
--- a/src/admission/floor-credit.ts
+++ b/src/admission/floor-credit.ts
@@ -10,18 +10,18 @@
 
 const HOLD_ALPHA = 0.1;
 /** Assumed until the class's first slot came back, in milliseconds. */
-const HOLD_UNKNOWN_MS = 500;
+const DEFAULT_HOLD_MS = 500;
 /** Credit is capped at this many usual holds, so that a long wait does not turn into a burst. */
-const CREDIT_CAP_HOLDS = 1.5;
+const CREDIT_MAX_HOLDS = 1.5;
 
 /** Nearly every answer of the class holds a slot no longer than this quantile of the last ones. */
-const LONG_HOLD_QUANTILE = 0.98;
-const HOLDS_KEPT = 128;
+const TAIL_HOLD_QUANTILE = 0.98;
+const TAIL_HOLD_SAMPLES = 128;
 
 /** Credit of one class. */
 export interface FloorCredit {
   /** Accounts for `elapsedMs` in which the class had waiting work. */
-  advance(elapsedMs: number, floorSlots: number, contestHeld: number): void;
+  advance(elapsedMs: number, floorSlots: number, priorityHeld: number): void;
   /** Whether the next free slot is the class's by its floor. */
   isDue(): boolean;
   /** Pays for a floor grant. */
@@ -30,35 +30,35 @@
    * Learns how long a slot was held, and settles a floor grant's price. `isWhole`: for an answer
    * from its beginning to its end; pieces of answers say little of how long one may take.
    */
-  record(heldMs: number, wasFloor: boolean, isWhole: boolean): void;
+  record(heldMs: number, wasFloor: boolean, isComplete: boolean): void;
   /** The price of one grant, in slot-milliseconds. */
-  getQuantum(): number;
+  getMeanHoldMs(): number;
   /** How long a slot may well be held, in milliseconds; 0 while unknown. */
-  getLongHold(): number;
+  getTailHoldMs(): number;
 }
 
 /** Builds a class's credit, at nothing. */
 export function createFloorCredit(): FloorCredit {
-  const hold = createMovingAverage(HOLD_ALPHA);
-  const longHold = createRecentQuantile(LONG_HOLD_QUANTILE, HOLDS_KEPT);
+  const meanHold = createMovingAverage(HOLD_ALPHA);
+  const tailHold = createRecentQuantile(TAIL_HOLD_QUANTILE, TAIL_HOLD_SAMPLES);
   let credit = 0;
-  const getQuantum = (): number => Math.max(1, hold.get(HOLD_UNKNOWN_MS));
+  const getMeanHoldMs = (): number => Math.max(1, meanHold.get(DEFAULT_HOLD_MS));
   return {
-    advance(elapsedMs, floorSlots, contestHeld) {
-      const gain = Math.max(0, floorSlots - contestHeld) * elapsedMs;
-      credit = Math.min(credit + gain, getQuantum() * CREDIT_CAP_HOLDS);
+    advance(elapsedMs, floorSlots, priorityHeld) {
+      const gain = Math.max(0, floorSlots - priorityHeld) * elapsedMs;
+      credit = Math.min(credit + gain, getMeanHoldMs() * CREDIT_MAX_HOLDS);
     },
-    isDue: () => credit >= getQuantum(),
+    isDue: () => credit >= getMeanHoldMs(),
     take() {
-      credit -= getQuantum();
+      credit -= getMeanHoldMs();
     },
-    record(heldMs, wasFloor, isWhole) {
-      if (wasFloor) credit += getQuantum() - heldMs;
-      hold.add(heldMs);
+    record(heldMs, wasFloor, isComplete) {
+      if (wasFloor) credit += getMeanHoldMs() - heldMs;
+      meanHold.add(heldMs);
       // A piece longer than what is thought long for a whole answer says that much at least.
-      if (isWhole || heldMs > longHold.get(Infinity)) longHold.add(heldMs);
+      if (isComplete || heldMs > tailHold.get(Infinity)) tailHold.add(heldMs);
     },
-    getQuantum,
-    getLongHold: () => longHold.get(0),
+    getMeanHoldMs,
+    getTailHoldMs: () => tailHold.get(0),
   };
 }
--- a/src/admission/preemption.ts
+++ b/src/admission/preemption.ts
@@ -2,58 +2,65 @@
 import type { ClassState, Grant, ShardState } from './shard-state.js';
 
 /** Part of its first-token target a ticket waits before it may preempt. */
-const PATIENCE = 0.12;
+const PREEMPTION_WAIT_SHARE = 0.12;
 /** A ticket that asked another shard first waits this many times longer: that owner goes first. */
-const LATER_FACTOR = 2.5;
+const SECONDARY_SHARD_WAIT_FACTOR = 2.5;
 /** A slot that was asked back and not given back after this long may be asked again. */
-const RETRY_MS = 1000;
+const PREEMPTION_RETRY_MS = 1000;
 /** Long holds that must be left for a preempted answer to wait, resume and end in time. */
-const RESUMABLE_HOLDS = 1.5;
+const RESUMABLE_HOLDS_MIN = 1.5;
 
-function countImpatient(state: ClassState, nowMs: number): number {
-  const patienceMs = state.declaration.firstTokenMs * PATIENCE;
-  return state.queue.list().filter((ticket) => {
+function countPreemptionDue(classState: ClassState, nowMs: number): number {
+  const thresholdMs = classState.declaration.firstTokenMs * PREEMPTION_WAIT_SHARE;
+  return classState.queue.list().filter((ticket) => {
     const waitedMs = nowMs - ticket.postedMs + ticket.waitedMs;
-    const isPatient = waitedMs < patienceMs * (ticket.isFirst ? 1 : LATER_FACTOR);
-    return !isPatient || nowMs >= ticket.expiresMs;
+    const isBelowThreshold =
+      waitedMs < thresholdMs * (ticket.isPrimaryShard ? 1 : SECONDARY_SHARD_WAIT_FACTOR);
+    return !isBelowThreshold || nowMs >= ticket.expiresMs;
   }).length;
 }
 
-function isPending(grant: Grant, nowMs: number): boolean {
-  return grant.preemptedMs !== undefined && nowMs - grant.preemptedMs < RETRY_MS;
+function isPreemptionPending(grant: Grant, nowMs: number): boolean {
+  return grant.preemptedMs !== undefined && nowMs - grant.preemptedMs < PREEMPTION_RETRY_MS;
 }
 
 /** Whether an answer taken back now still has time to wait, resume and end. */
-function isResumable(shard: ShardState, grant: Grant, nowMs: number): boolean {
-  const holdMs = shard.classes.get(grant.className)?.credit.getLongHold() ?? 0;
-  return grant.expiresMs - nowMs > holdMs * RESUMABLE_HOLDS;
+function isResumable(shardState: ShardState, grant: Grant, nowMs: number): boolean {
+  const holdMs = shardState.classes.get(grant.className)?.credit.getTailHoldMs() ?? 0;
+  return grant.expiresMs - nowMs > holdMs * RESUMABLE_HOLDS_MIN;
 }
 
 /** Grants that tier may take back: lowest tier first, then the resumable, then the latest begun. */
-function listVictims(shard: ShardState, tier: number, nowMs: number): Grant[] {
-  const open = [...shard.grants.values()].filter(
-    (grant) => grant.tier > tier && !grant.isFloor && grant.preemptible && !isPending(grant, nowMs),
+function listVictims(shardState: ShardState, tier: number, nowMs: number): Grant[] {
+  const preemptible = [...shardState.grants.values()].filter(
+    (grant) =>
+      grant.tier > tier &&
+      !grant.isFloor &&
+      grant.preemptible &&
+      !isPreemptionPending(grant, nowMs),
   );
-  return open.sort(
+  return preemptible.sort(
     (a, b) =>
       b.tier - a.tier ||
-      Number(isResumable(shard, b, nowMs)) - Number(isResumable(shard, a, nowMs)) ||
+      Number(isResumable(shardState, b, nowMs)) - Number(isResumable(shardState, a, nowMs)) ||
       b.grantedMs - a.grantedMs,
   );
 }
 
 /** The grants to ask back now: one for each waiting request that has lost patience, none twice. */
-export function chooseVictims(shard: ShardState, nowMs: number): Grant[] {
-  if (shard.countWaiting() === 0) return [];
+export function chooseVictims(shardState: ShardState, nowMs: number): Grant[] {
+  if (shardState.countWaiting() === 0) return [];
   const chosen: Grant[] = [];
-  let pending = [...shard.grants.values()].filter((grant) => isPending(grant, nowMs)).length;
-  for (const state of shard.listByTier()) {
-    const wanted = Math.max(0, countImpatient(state, nowMs) - pending);
-    const victims = listVictims(shard, state.declaration.tier, nowMs).slice(0, wanted);
+  let pendingSlots = [...shardState.grants.values()].filter((grant) =>
+    isPreemptionPending(grant, nowMs),
+  ).length;
+  for (const classState of shardState.listByTier()) {
+    const wanted = Math.max(0, countPreemptionDue(classState, nowMs) - pendingSlots);
+    const victims = listVictims(shardState, classState.declaration.tier, nowMs).slice(0, wanted);
     for (const victim of victims) victim.preemptedMs = nowMs;
     chosen.push(...victims);
     // Slots on their way serve this tier's tickets first; what is left serves the next one's.
-    pending = Math.max(0, pending + victims.length - state.queue.count());
+    pendingSlots = Math.max(0, pendingSlots + victims.length - classState.queue.count());
   }
   return chosen;
 }
--- a/src/admission/shard-map.ts
+++ b/src/admission/shard-map.ts
@@ -30,8 +30,8 @@
   live: readonly LiveEntry[],
 ): string {
   const dataCentres = new Set(endpoints.map((endpoint) => endpoint.dataCentre));
-  const near = live.filter((entry) => dataCentres.has(entry.dataCentre));
-  const names = (near.length > 0 ? near : live).map((entry) => entry.name);
+  const local = live.filter((instance) => dataCentres.has(instance.dataCentre));
+  const names = (local.length > 0 ? local : live).map((instance) => instance.name);
   return chooseRendezvous(shard, names, 1)[0] ?? '';
 }
 
@@ -64,9 +64,9 @@
   const routes = new Map<string, ShardRoute[]>();
   for (const shard of shards) {
     const route = { shard: shard.name, owner: shard.owner };
-    const known = routes.get(shard.pool);
-    if (known === undefined) routes.set(shard.pool, [route]);
-    else known.push(route);
+    const poolRoutes = routes.get(shard.pool);
+    if (poolRoutes === undefined) routes.set(shard.pool, [route]);
+    else poolRoutes.push(route);
   }
   return routes;
 }
--- a/src/admission/shard-owner.ts
+++ b/src/admission/shard-owner.ts
@@ -32,51 +32,52 @@
   RETRY_AFTER_MIN_MS,
   computeRetryAfter,
   countAhead,
-  isPromising,
-  isTooLate,
+  isDeadlineSafe,
+  isLikelyLate,
   predictWait,
 } from './wait-prediction.js';
 
 /** Tickets one shard queues for each of its slots. */
-const QUEUE_PER_SLOT = 8;
-const QUEUE_MIN = 32;
+const QUEUE_PLACES_PER_SLOT = 8;
+const QUEUE_PLACES_MIN = 32;
 /** A held slot that its entry no longer reports is taken back after this long, in milliseconds. */
-const HOLD_GRACE_MS = 2500;
+const UNREPORTED_GRANT_TIMEOUT_MS = 2500;
 /** Slot endings that say the endpoint failed. */
-const FAILED_ENDINGS: readonly SlotEnding[] = [SlotEnding.FAILED, SlotEnding.STALLED];
+const ENDPOINT_FAILURE_ENDINGS: readonly SlotEnding[] = [SlotEnding.FAILED, SlotEnding.STALLED];
 
 /** Builds an owner with an empty queue. */
 export function createShardOwner(options: ShardOwnerOptions): ShardOwner {
   const { shard, random, invariants } = options;
   const { grantsFromMs = 0, hasFloors = true, hasPreemption = true } = options;
-  const state = createShardState();
-  const { classes, grants } = state;
+  const shardState = createShardState();
+  const { classes, grants } = shardState;
   const table = createEndpointTable(random);
   const prefixes = createPrefixIndex();
   let resolveWeight: (organisation: string) => number = () => 1;
-  let advancedMs: number | undefined;
+  let creditsAdvancedMs: number | undefined;
   const totals = { granted: 0, floorGranted: 0, shed: 0, preempted: 0, longestUnservedMs: 0 };
   let outbox: AddressedMessage[] = [];
 
   function countPreemptibleBelow(tier: number): number {
-    return hasPreemption ? state.countPreemptibleBelow(tier) : 0;
+    return hasPreemption ? shardState.countPreemptibleBelow(tier) : 0;
   }
 
   function computeQueueCapacity(): number {
-    return Math.max(QUEUE_MIN, table.countSlots() * QUEUE_PER_SLOT);
+    return Math.max(QUEUE_PLACES_MIN, table.countSlots() * QUEUE_PLACES_PER_SLOT);
   }
 
   /** Places in the queue that are the class's by its floor, outside the contest. */
-  function countReserved(entry: ClassState): number {
-    return hasFloors ? Math.ceil(entry.declaration.floor * computeQueueCapacity()) : 0;
+  function countReservedPlaces(classState: ClassState): number {
+    return hasFloors ? Math.ceil(classState.declaration.floor * computeQueueCapacity()) : 0;
   }
 
   /** Tickets of lower tiers that wait in places of the contest. */
-  function countContestWaitingBelow(tier: number): number {
+  function countUnreservedWaitingBelow(tier: number): number {
     let waiting = 0;
-    for (const entry of classes.values()) {
-      const isBelow = entry.declaration.tier > tier;
-      if (isBelow) waiting += Math.max(0, entry.queue.count() - countReserved(entry));
+    for (const classState of classes.values()) {
+      const isBelow = classState.declaration.tier > tier;
+      if (isBelow)
+        waiting += Math.max(0, classState.queue.count() - countReservedPlaces(classState));
     }
     return waiting;
   }
@@ -85,32 +86,32 @@
     // Too late with a free slot at hand: lower tiers hold nothing that could have helped.
     invariants.check(
       'slot_at_hand_when_too_late',
-      reason !== REFUSAL.TooLate || table.countUsable(nowMs) > 0,
+      reason !== REFUSAL.TooLate || table.countFreeSlots(nowMs) > 0,
       () => `${shard}: tier ${tier} refused as too late without a free slot`,
     );
-    const wanting = state.countWaitingAtOrAbove(tier) + 1;
+    const slotsWanted = shardState.countWaitingAtOrAbove(tier) + 1;
     invariants.check(
       'tier_order_at_shed',
       reason === REFUSAL.TooLate ||
-        countPreemptibleBelow(tier) < wanting ||
-        state.countAskedBack() >= wanting,
+        countPreemptibleBelow(tier) < slotsWanted ||
+        shardState.countPreempted() >= slotsWanted,
       () => `${shard}: tier ${tier} shed while lower tiers hold contest slots nobody waits for`,
     );
     invariants.check(
       'tier_order_in_queue',
-      reason !== REFUSAL.Shed || countContestWaitingBelow(tier) === 0,
+      reason !== REFUSAL.Shed || countUnreservedWaitingBelow(tier) === 0,
       () =>
         `${shard}: tier ${tier} shed from a full queue in which lower tiers hold contest places`,
     );
   }
 
   function refuseWaiting(ticket: Ticket, reason: Refusal, nowMs: number): void {
-    const entry = state.findClassOf(ticket.ticketId);
+    const classState = shardState.findClassOf(ticket.ticketId);
     const retryAfterMs =
-      entry === undefined
+      classState === undefined
         ? RETRY_AFTER_MIN_MS
-        : computeRetryAfter(entry, table.countSlots(), random, nowMs);
-    state.removeTicket(ticket.ticketId);
+        : computeRetryAfter(classState, table.countSlots(), random, nowMs);
+    shardState.removeTicket(ticket.ticketId);
     totals.shed += 1;
     checkShedOrder(ticket.tier, reason, nowMs);
     outbox.push(buildRefusal(ticket.from, shard, ticket.ticketId, reason, retryAfterMs));
@@ -121,25 +122,29 @@
    * who queues most. Without such places a long burst of a high tier would push every low ticket
    * out before its floor's slot comes: the class would starve with its floor intact.
    */
-  function findVictim(): Ticket | undefined {
-    const lowest = state
+  function findTicketToShed(): Ticket | undefined {
+    const lowestTier = shardState
       .listByTier()
       .reverse()
-      .find((entry) => entry.queue.count() > countReserved(entry));
-    return lowest?.queue.findMostQueued();
+      .find((classState) => classState.queue.count() > countReservedPlaces(classState));
+    return lowestTier?.queue.findShedCandidate();
   }
 
-  function isUnreachable(ticket: Ticket, entry: ClassState, nowMs: number): boolean {
-    const aheadAndMe = state.countWaitingAtOrAbove(ticket.tier) + 1;
-    if (countPreemptibleBelow(ticket.tier) >= aheadAndMe) return false;
-    const ahead = countAhead(ticket, entry);
+  function isDeadlineUnreachable(ticket: Ticket, classState: ClassState, nowMs: number): boolean {
+    const slotsWanted = shardState.countWaitingAtOrAbove(ticket.tier) + 1;
+    if (countPreemptibleBelow(ticket.tier) >= slotsWanted) return false;
+    const ahead = countAhead(ticket, classState);
     // Where nobody waits a try costs nobody anything, and shows whether the estimate still holds.
     if (ahead === 0) return false;
-    return isTooLate(ticket, entry, nowMs + predictWait(entry, ahead, table.countSlots(), nowMs));
+    return isLikelyLate(
+      ticket,
+      classState,
+      nowMs + predictWait(classState, ahead, table.countSlots(), nowMs),
+    );
   }
 
   function grantTicket(
-    entry: ClassState,
+    classState: ClassState,
     ticket: Ticket,
     isFloor: boolean,
     nowMs: number,
@@ -148,14 +153,14 @@
     const cached = prefixes.find(organisation, ticket.prefixHash);
     const endpoint = table.choose(ticket, cached, nowMs);
     if (endpoint === undefined) return false;
-    state.removeTicket(ticketId);
-    entry.unservedSinceMs = entry.queue.count() > 0 ? nowMs : undefined;
-    entry.departures.record(nowMs);
-    entry.queue.record(organisation, ticket.expectedTokens / weight);
+    shardState.removeTicket(ticketId);
+    classState.unservedSinceMs = classState.queue.count() > 0 ? nowMs : undefined;
+    classState.departures.record(nowMs);
+    classState.queue.addTokens(organisation, ticket.expectedTokens / weight);
     prefixes.record(organisation, ticket.prefixHash, endpoint);
     table.take(endpoint);
-    if (isFloor) entry.credit.take();
-    else entry.contestHeld += 1;
+    if (isFloor) classState.credit.take();
+    else classState.priorityHeld += 1;
     grants.set(ticketId, {
       ticketId,
       from,
@@ -170,7 +175,7 @@
       grantedMs: nowMs,
       expiresMs: ticket.expiresMs,
       isResumed: ticket.isResumed,
-      seenMs: nowMs,
+      reportedMs: nowMs,
       preemptedMs: undefined,
     });
     totals.granted += 1;
@@ -181,71 +186,82 @@
 
   function findDueFloor(ordered: readonly ClassState[]): ClassState | undefined {
     if (!hasFloors) return undefined;
-    return ordered.find((entry) => entry.queue.count() > 0 && entry.credit.isDue());
+    return ordered.find((classState) => classState.queue.count() > 0 && classState.credit.isDue());
   }
 
   function grantNext(nowMs: number): boolean {
-    const ordered = state.listByTier();
-    const due = findDueFloor(ordered);
-    const entry = due ?? ordered.find((candidate) => candidate.queue.count() > 0);
-    const ticket = entry?.queue.find((waiting) => isPromising(waiting, entry, nowMs));
-    if (entry === undefined || ticket === undefined) return false;
-    if (entry.queue.count() > 1 && isTooLate(ticket, entry, nowMs)) {
+    const ordered = shardState.listByTier();
+    const dueFloor = findDueFloor(ordered);
+    const classState = dueFloor ?? ordered.find((candidate) => candidate.queue.count() > 0);
+    const ticket = classState?.queue.findNext((waiting) =>
+      isDeadlineSafe(waiting, classState, nowMs),
+    );
+    if (classState === undefined || ticket === undefined) return false;
+    if (classState.queue.count() > 1 && isLikelyLate(ticket, classState, nowMs)) {
       // Of all that wait it has most time left, and not even a usual answer would be in time: this
       // caller hears at once instead of being cut off half way.
       refuseWaiting(ticket, REFUSAL.TooLate, nowMs);
       return true;
     }
-    if (due === undefined) {
+    if (dueFloor === undefined) {
       invariants.check(
         'contest_by_tier',
-        state.countWaitingAtOrAbove(ticket.tier - 1) === 0,
+        shardState.countWaitingAtOrAbove(ticket.tier - 1) === 0,
         () => `${shard}: contest slot for tier ${ticket.tier} while a higher tier waits`,
       );
     }
-    return grantTicket(entry, ticket, due !== undefined, nowMs);
+    return grantTicket(classState, ticket, dueFloor !== undefined, nowMs);
   }
 
   function grantFreeSlots(nowMs: number): void {
     if (nowMs < grantsFromMs) return;
-    while (state.countWaiting() > 0 && table.countUsable(nowMs) > 0 && grantNext(nowMs));
+    while (shardState.countWaiting() > 0 && table.countFreeSlots(nowMs) > 0 && grantNext(nowMs));
   }
 
   function preemptForWaiting(nowMs: number): void {
     if (!hasPreemption || nowMs < grantsFromMs) return;
-    for (const victim of chooseVictims(state, nowMs)) {
+    for (const victim of chooseVictims(shardState, nowMs)) {
       totals.preempted += 1;
       outbox.push(buildPreemption(victim.from, shard, victim.ticketId));
     }
   }
 
   function refuseExpired(nowMs: number): void {
-    for (const entry of classes.values()) {
-      for (const ticket of entry.queue.list()) {
+    for (const classState of classes.values()) {
+      for (const ticket of classState.queue.list()) {
         if (nowMs >= ticket.expiresMs) refuseWaiting(ticket, REFUSAL.Expired, nowMs);
       }
     }
   }
 
   function advanceCredits(nowMs: number): void {
-    const elapsedMs = nowMs - (advancedMs ?? nowMs);
-    advancedMs = nowMs;
+    const elapsedMs = nowMs - (creditsAdvancedMs ?? nowMs);
+    creditsAdvancedMs = nowMs;
     const slots = table.countSlots();
-    for (const entry of classes.values()) {
-      if (entry.queue.count() > 0) {
-        entry.credit.advance(elapsedMs, entry.declaration.floor * slots, entry.contestHeld);
-        const unservedMs = nowMs - (entry.unservedSinceMs ?? nowMs);
+    for (const classState of classes.values()) {
+      if (classState.queue.count() > 0) {
+        classState.credit.advance(
+          elapsedMs,
+          classState.declaration.floor * slots,
+          classState.priorityHeld,
+        );
+        const unservedMs = nowMs - (classState.unservedSinceMs ?? nowMs);
         totals.longestUnservedMs = Math.max(totals.longestUnservedMs, unservedMs);
       }
     }
   }
 
-  function buildTicket(from: string, post: PostTicket, entry: ClassState, nowMs: number): Ticket {
+  function buildTicket(
+    from: string,
+    post: PostTicket,
+    classState: ClassState,
+    nowMs: number,
+  ): Ticket {
     return {
       ticketId: post.ticketId,
       from,
       className: post.className,
-      tier: entry.declaration.tier,
+      tier: classState.declaration.tier,
       organisation: post.organisation,
       weight: resolveWeight(post.organisation),
       expectedTokens: post.expectedTokens,
@@ -254,39 +270,43 @@
       expiresMs: nowMs + post.remainingMs,
       prefixHash: post.prefixHash,
       preemptible: post.preemptible,
-      excluded: post.excludedEndpoints,
+      excludedEndpoints: post.excludedEndpoints,
       isResumed: post.resumed,
-      isFirst: post.first,
+      isPrimaryShard: post.first,
     };
   }
 
   function handlePost(from: string, post: PostTicket, nowMs: number): void {
-    const entry = classes.get(post.className);
-    if (entry === undefined) {
+    const classState = classes.get(post.className);
+    if (classState === undefined) {
       const { ticketId } = post;
       outbox.push(buildRefusal(from, shard, ticketId, REFUSAL.UnknownClass, RETRY_AFTER_MIN_MS));
       return;
     }
     // Posted again because an answer was lost, or because the owner seemed to have changed.
-    if (state.hasTicket(post.ticketId) || grants.has(post.ticketId)) return;
-    const ticket = buildTicket(from, post, entry, nowMs);
-    const isUnreachableNow = isUnreachable(ticket, entry, nowMs);
-    state.addTicket(ticket, entry, nowMs);
-    if (isUnreachableNow) refuseWaiting(ticket, REFUSAL.DeadlineUnreachable, nowMs);
-    const victim = state.countWaiting() > computeQueueCapacity() ? findVictim() : undefined;
+    if (shardState.hasTicket(post.ticketId) || grants.has(post.ticketId)) return;
+    const ticket = buildTicket(from, post, classState, nowMs);
+    const isRefusedOnArrival = isDeadlineUnreachable(ticket, classState, nowMs);
+    shardState.addTicket(ticket, classState, nowMs);
+    if (isRefusedOnArrival) refuseWaiting(ticket, REFUSAL.DeadlineUnreachable, nowMs);
+    const victim =
+      shardState.countWaiting() > computeQueueCapacity() ? findTicketToShed() : undefined;
     if (victim !== undefined) refuseWaiting(victim, REFUSAL.Shed, nowMs);
   }
 
-  function recordHold(grant: Grant, release: ReleaseSlot, nowMs: number): void {
-    const entry = classes.get(grant.className);
-    if (entry === undefined) return;
-    if (!grant.isFloor) entry.contestHeld = Math.max(0, entry.contestHeld - 1);
-    entry.queue.record(grant.organisation, (release.tokens - grant.chargedTokens) / grant.weight);
+  function recordRelease(grant: Grant, release: ReleaseSlot, nowMs: number): void {
+    const classState = classes.get(grant.className);
+    if (classState === undefined) return;
+    if (!grant.isFloor) classState.priorityHeld = Math.max(0, classState.priorityHeld - 1);
+    classState.queue.addTokens(
+      grant.organisation,
+      (release.tokens - grant.chargedTokens) / grant.weight,
+    );
     const isUnused = release.ending === SlotEnding.UNUSED;
-    const isWhole = release.ending === SlotEnding.COMPLETED && !grant.isResumed;
+    const isComplete = release.ending === SlotEnding.COMPLETED && !grant.isResumed;
     // A slot that was not used costs its floor nothing and teaches nothing.
-    if (!isUnused) entry.credit.record(nowMs - grant.grantedMs, grant.isFloor, isWhole);
-    else if (grant.isFloor) entry.credit.record(0, true, false);
+    if (!isUnused) classState.credit.record(nowMs - grant.grantedMs, grant.isFloor, isComplete);
+    else if (grant.isFloor) classState.credit.record(0, true, false);
   }
 
   function handleRelease(release: ReleaseSlot, nowMs: number): void {
@@ -294,14 +314,15 @@
     if (grant === undefined) return;
     grants.delete(release.ticketId);
     table.release(grant.endpoint);
-    recordHold(grant, release, nowMs);
+    recordRelease(grant, release, nowMs);
     if (release.stepMs > 0) table.recordStep(grant.endpoint, release.stepMs, nowMs);
     if (release.ending === SlotEnding.COMPLETED) table.recordSuccess(grant.endpoint);
-    if (FAILED_ENDINGS.includes(release.ending)) table.recordFailure(grant.endpoint, nowMs);
+    if (ENDPOINT_FAILURE_ENDINGS.includes(release.ending))
+      table.recordFailure(grant.endpoint, nowMs);
     if (release.ending === SlotEnding.LEAVING) table.setLeaving(grant.endpoint, true);
   }
 
-  function handleReturned(grant: Grant, nowMs: number): void {
+  function releaseUnused(grant: Grant, nowMs: number): void {
     handleRelease(
       {
         $typeName: 'hyssoptally.peer.v1.ReleaseSlot',
@@ -318,15 +339,20 @@
   }
 
   /** Counts a slot granted by an earlier owner of this shard, or it would be granted twice. */
-  function addHeld(from: string, slot: HeldSlot, entry: ClassState, nowMs: number): void {
+  function addReportedGrant(
+    from: string,
+    slot: HeldSlot,
+    classState: ClassState,
+    nowMs: number,
+  ): void {
     table.take(slot.endpoint);
-    if (!slot.floor) entry.contestHeld += 1;
+    if (!slot.floor) classState.priorityHeld += 1;
     grants.set(slot.ticketId, {
       ticketId: slot.ticketId,
       from,
       endpoint: slot.endpoint,
       className: slot.className,
-      tier: entry.declaration.tier,
+      tier: classState.declaration.tier,
       organisation: slot.organisation,
       weight: resolveWeight(slot.organisation),
       isFloor: slot.floor,
@@ -336,7 +362,7 @@
       expiresMs: Infinity,
       // When it began is not known here, so its length must teach nothing.
       isResumed: true,
-      seenMs: nowMs,
+      reportedMs: nowMs,
       preemptedMs: undefined,
     });
   }
@@ -347,25 +373,26 @@
       reported.add(slot.ticketId);
       table.recordStep(slot.endpoint, slot.stepMs, nowMs);
       const grant = grants.get(slot.ticketId);
-      const entry = classes.get(slot.className);
-      if (grant !== undefined) grant.seenMs = nowMs;
-      else if (entry !== undefined) addHeld(from, slot, entry, nowMs);
+      const classState = classes.get(slot.className);
+      if (grant !== undefined) grant.reportedMs = nowMs;
+      else if (classState !== undefined) addReportedGrant(from, slot, classState, nowMs);
     }
     for (const grant of grants.values()) {
-      const isLost = grant.from === from && !reported.has(grant.ticketId);
+      const isUnreported = grant.from === from && !reported.has(grant.ticketId);
       // The release was lost on the way: without this the slot would stay taken for good.
-      if (isLost && nowMs - grant.seenMs > HOLD_GRACE_MS) handleReturned(grant, nowMs);
+      if (isUnreported && nowMs - grant.reportedMs > UNREPORTED_GRANT_TIMEOUT_MS)
+        releaseUnused(grant, nowMs);
     }
   }
 
   function handleMemberGone(member: string, nowMs: number): void {
-    for (const entry of classes.values()) {
-      for (const ticket of entry.queue.list()) {
-        if (ticket.from === member) state.removeTicket(ticket.ticketId);
+    for (const classState of classes.values()) {
+      for (const ticket of classState.queue.list()) {
+        if (ticket.from === member) shardState.removeTicket(ticket.ticketId);
       }
     }
     for (const grant of grants.values()) {
-      if (grant.from === member) handleReturned(grant, nowMs);
+      if (grant.from === member) releaseUnused(grant, nowMs);
     }
   }
 
@@ -375,15 +402,15 @@
   ): void {
     resolveWeight = message.weights;
     table.set(message.endpoints, nowMs);
-    for (const { from, ticketId } of state.setClasses(message.classes)) {
+    for (const { from, ticketId } of shardState.setClasses(message.classes)) {
       outbox.push(buildRefusal(from, shard, ticketId, REFUSAL.UnknownClass, RETRY_AFTER_MIN_MS));
     }
   }
 
   function handleWithdraw(ticketId: string, nowMs: number): void {
     // Granted elsewhere or given up: it left this queue, which is what predictions count.
-    state.findClassOf(ticketId)?.departures.record(nowMs);
-    state.removeTicket(ticketId);
+    shardState.findClassOf(ticketId)?.departures.record(nowMs);
+    shardState.removeTicket(ticketId);
   }
 
   function applyMessage(message: OwnerMessage, nowMs: number): void {
@@ -410,10 +437,10 @@
         table.setLeaving(message.endpoint, message.isLeaving);
         break;
       case 'endpoint_seen':
-        table.recordSeen(message.endpoint, message.isReachable);
+        table.recordProbe(message.endpoint, message.isReachable);
         break;
       case 'cut_off':
-        table.setCutOff(message.dataCentres);
+        table.setPartitioned(message.dataCentres);
         break;
       case 'tick':
         preemptForWaiting(nowMs);
@@ -436,7 +463,7 @@
       shard,
       endpoints: table.list(),
       waiting: Object.fromEntries(
-        [...classes].map(([name, entry]) => [name, entry.queue.count()] as const),
+        [...classes].map(([name, classState]) => [name, classState.queue.count()] as const),
       ),
       ...totals,
     }),
--- a/src/admission/shard-state.ts
+++ b/src/admission/shard-state.ts
@@ -24,7 +24,7 @@
   readonly expiresMs: number;
   readonly isResumed: boolean;
   /** When the entry last said that it holds the slot. */
-  seenMs: number;
+  reportedMs: number;
   /** When the slot was asked back; undefined if never. */
   preemptedMs: number | undefined;
 }
@@ -36,7 +36,7 @@
   readonly credit: FloorCredit;
   readonly departures: DepartureRate;
   /** Contest slots the class holds. */
-  contestHeld: number;
+  priorityHeld: number;
   /** Since when the class has had waiting work without a grant. */
   unservedSinceMs: number | undefined;
 }
@@ -48,7 +48,7 @@
   /** Takes over classes; returns the tickets of classes that are gone. */
   setClasses(declarations: ReadonlyMap<string, ClassDeclaration>): Ticket[];
   listByTier(): ClassState[];
-  addTicket(ticket: Ticket, state: ClassState, nowMs: number): void;
+  addTicket(ticket: Ticket, classState: ClassState, nowMs: number): void;
   removeTicket(ticketId: string): Ticket | undefined;
   hasTicket(ticketId: string): boolean;
   /** The class of a waiting ticket. */
@@ -58,7 +58,7 @@
   /** Contest slots of lower tiers, open to preemption and not asked back yet. */
   countPreemptibleBelow(tier: number): number;
   /** Slots that were asked back and have not come back yet. */
-  countAskedBack(): number;
+  countPreempted(): number;
 }
 
 /** Builds the state of a shard without classes. */
@@ -78,17 +78,17 @@
       queue: createClassQueue(),
       credit: createFloorCredit(),
       departures: createDepartureRate(),
-      contestHeld: 0,
+      priorityHeld: 0,
       unservedSinceMs: undefined,
     });
   }
 
   function removeTicket(ticketId: string): Ticket | undefined {
-    const state = classOfTicket.get(ticketId);
-    if (state === undefined) return undefined;
+    const classState = classOfTicket.get(ticketId);
+    if (classState === undefined) return undefined;
     classOfTicket.delete(ticketId);
-    const ticket = state.queue.remove(ticketId);
-    if (state.queue.count() === 0) state.unservedSinceMs = undefined;
+    const ticket = classState.queue.remove(ticketId);
+    if (classState.queue.count() === 0) classState.unservedSinceMs = undefined;
     return ticket;
   }
 
@@ -98,9 +98,9 @@
     setClasses(declarations) {
       for (const [name, declaration] of declarations) addClass(name, declaration);
       const orphans: Ticket[] = [];
-      for (const [name, state] of classes) {
+      for (const [name, classState] of classes) {
         if (!declarations.has(name)) {
-          orphans.push(...state.queue.list());
+          orphans.push(...classState.queue.list());
           classes.delete(name);
         }
       }
@@ -108,10 +108,10 @@
       return orphans;
     },
     listByTier: () => [...classes.values()].sort((a, b) => a.declaration.tier - b.declaration.tier),
-    addTicket(ticket, state, nowMs) {
-      state.unservedSinceMs ??= nowMs;
-      state.queue.add(ticket);
-      classOfTicket.set(ticket.ticketId, state);
+    addTicket(ticket, classState, nowMs) {
+      classState.unservedSinceMs ??= nowMs;
+      classState.queue.add(ticket);
+      classOfTicket.set(ticket.ticketId, classState);
     },
     removeTicket,
     hasTicket: (ticketId) => classOfTicket.has(ticketId),
@@ -119,12 +119,12 @@
     countWaiting: () => classOfTicket.size,
     countWaitingAtOrAbove(tier) {
       let waiting = 0;
-      for (const state of classes.values()) {
-        if (state.declaration.tier <= tier) waiting += state.queue.count();
+      for (const classState of classes.values()) {
+        if (classState.declaration.tier <= tier) waiting += classState.queue.count();
       }
       return waiting;
     },
-    countAskedBack: () =>
+    countPreempted: () =>
       [...grants.values()].filter((grant) => grant.preemptedMs !== undefined).length,
     countPreemptibleBelow(tier) {
       let open = 0;
--- a/src/admission/ticket-desk.ts
+++ b/src/admission/ticket-desk.ts
@@ -20,31 +20,31 @@
 import type { Refusal } from './ticket.js';
 
 /** Shards asked first; with few shards that is all of them. */
-const FIRST_SHARDS = 2;
+const INITIAL_SHARDS = 2;
 /** The first shards get this long before others are asked, in milliseconds. */
-const SPILL_AFTER_MS = 25;
+const SPILLOVER_DELAY_MS = 25;
 /** Further shards asked before a ticket is given up. */
-const SPILL_SHARDS = 2;
+const SPILLOVER_SHARDS = 2;
 /** A ticket nobody has answered is posted again after this long: messages between peers may be lost. */
-const REPOST_MS = 500;
+const REPOST_INTERVAL_MS = 500;
 
-interface Asked {
+interface ShardPost {
   readonly owner: string;
-  readonly isFirst: boolean;
+  readonly isPrimaryShard: boolean;
   isRefused: boolean;
   readonly postedMs: number;
 }
 
-interface Pending {
+interface PendingTicket {
   readonly request: SlotRequest;
   /** Shards asked, with the owner asked and whether it has refused. */
-  readonly asked: Map<string, Asked>;
-  isSpilled: boolean;
+  readonly posts: Map<string, ShardPost>;
+  hasSpilledOver: boolean;
   retryAfterMs: number;
   reason: Refusal;
 }
 
-interface Held {
+interface GrantedSlot {
   readonly request: SlotRequest;
   readonly grant: HeldGrant;
   tokens: number;
@@ -60,8 +60,8 @@
 
 /** Builds a desk that knows no shard yet. */
 export function createTicketDesk(random: Random): TicketDesk {
-  const pending = new Map<string, Pending>();
-  const held = new Map<string, Held>();
+  const pending = new Map<string, PendingTicket>();
+  const held = new Map<string, GrantedSlot>();
   let routes: ReadonlyMap<string, readonly ShardRoute[]> = new Map();
   let owners = new Map<string, string>();
   let outbox: DeskCommand[] = [];
@@ -73,7 +73,7 @@
   function buildPost(
     request: SlotRequest,
     route: ShardRoute,
-    isFirst: boolean,
+    isPrimaryShard: boolean,
     nowMs: number,
   ): PostTicket {
     return {
@@ -90,63 +90,63 @@
       excludedEndpoints: [...request.excluded],
       waitedMs: nowMs - request.requestedMs,
       resumed: request.isResumed,
-      first: isFirst,
+      first: isPrimaryShard,
     };
   }
 
-  function postTicket(entry: Pending, route: ShardRoute, nowMs: number): void {
-    const known = entry.asked.get(route.shard);
-    const isFirst = known?.isFirst ?? entry.asked.size === 0;
-    entry.asked.set(route.shard, {
+  function postTicket(ticket: PendingTicket, route: ShardRoute, nowMs: number): void {
+    const known = ticket.posts.get(route.shard);
+    const isPrimaryShard = known?.isPrimaryShard ?? ticket.posts.size === 0;
+    ticket.posts.set(route.shard, {
       owner: route.owner,
-      isFirst,
+      isPrimaryShard,
       isRefused: false,
       postedMs: nowMs,
     });
     postMessage(route.owner, {
       case: 'postTicket',
-      value: buildPost(entry.request, route, isFirst, nowMs),
+      value: buildPost(ticket.request, route, isPrimaryShard, nowMs),
     });
   }
 
   /** Asks up to `count` more shards of the pool, from a random start so that load spreads. */
-  function postToMore(entry: Pending, count: number, nowMs: number): void {
-    const routesOfPool = routes.get(entry.request.pool) ?? [];
-    const open = routesOfPool.filter((route) => !entry.asked.has(route.shard));
-    const start = open.length <= count ? 0 : random.nextIndex(open.length);
-    const chosen = [...open.slice(start), ...open.slice(0, start)].slice(0, count);
-    for (const route of chosen) postTicket(entry, route, nowMs);
+  function postToMoreShards(ticket: PendingTicket, count: number, nowMs: number): void {
+    const poolRoutes = routes.get(ticket.request.pool) ?? [];
+    const candidates = poolRoutes.filter((route) => !ticket.posts.has(route.shard));
+    const start = candidates.length <= count ? 0 : random.nextIndex(candidates.length);
+    const chosen = [...candidates.slice(start), ...candidates.slice(0, start)].slice(0, count);
+    for (const route of chosen) postTicket(ticket, route, nowMs);
   }
 
-  function postElsewhere(entry: Pending, nowMs: number): void {
-    if (entry.isSpilled) return;
-    entry.isSpilled = true;
-    postToMore(entry, SPILL_SHARDS, nowMs);
+  function postSpillover(ticket: PendingTicket, nowMs: number): void {
+    if (ticket.hasSpilledOver) return;
+    ticket.hasSpilledOver = true;
+    postToMoreShards(ticket, SPILLOVER_SHARDS, nowMs);
   }
 
-  function refuseIfAllRefused(entry: Pending, nowMs: number): void {
-    const isOpen = [...entry.asked.values()].some((asked) => !asked.isRefused);
-    if (isOpen) return;
-    if (!entry.isSpilled) postElsewhere(entry, nowMs);
-    const isOpenNow = [...entry.asked.values()].some((asked) => !asked.isRefused);
-    if (isOpenNow) return;
-    pending.delete(entry.request.ticketId);
+  function refuseIfAllRefused(ticket: PendingTicket, nowMs: number): void {
+    const isAwaitingReply = [...ticket.posts.values()].some((post) => !post.isRefused);
+    if (isAwaitingReply) return;
+    if (!ticket.hasSpilledOver) postSpillover(ticket, nowMs);
+    const isAwaitingSpilloverReply = [...ticket.posts.values()].some((post) => !post.isRefused);
+    if (isAwaitingSpilloverReply) return;
+    pending.delete(ticket.request.ticketId);
     outbox.push({
       kind: 'settle_refusal',
-      ticketId: entry.request.ticketId,
-      reason: entry.reason,
-      retryAfterMs: entry.retryAfterMs,
+      ticketId: ticket.request.ticketId,
+      reason: ticket.reason,
+      retryAfterMs: ticket.retryAfterMs,
     });
   }
 
-  function removePosted(entry: Pending, except: string | undefined): void {
-    for (const [shard, asked] of entry.asked) {
-      if (shard !== except && !asked.isRefused) {
-        postMessage(asked.owner, {
+  function cancelPosts(ticket: PendingTicket, except: string | undefined): void {
+    for (const [shard, post] of ticket.posts) {
+      if (shard !== except && !post.isRefused) {
+        postMessage(post.owner, {
           case: 'withdrawTicket',
           value: {
             $typeName: 'hyssoptally.peer.v1.WithdrawTicket',
-            ticketId: entry.request.ticketId,
+            ticketId: ticket.request.ticketId,
             shard,
           },
         });
@@ -170,24 +170,24 @@
   }
 
   function handleRequest(request: SlotRequest, nowMs: number): void {
-    const entry: Pending = {
+    const ticket: PendingTicket = {
       request,
-      asked: new Map(),
-      isSpilled: false,
+      posts: new Map(),
+      hasSpilledOver: false,
       retryAfterMs: 1000,
       reason: REFUSAL.NoEndpoint,
     };
-    pending.set(request.ticketId, entry);
-    postToMore(entry, FIRST_SHARDS, nowMs);
-    if (entry.asked.size === 0) refuseIfAllRefused(entry, nowMs);
+    pending.set(request.ticketId, ticket);
+    postToMoreShards(ticket, INITIAL_SHARDS, nowMs);
+    if (ticket.posts.size === 0) refuseIfAllRefused(ticket, nowMs);
   }
 
   function handleGrant(grant: HeldGrant): void {
-    const entry = pending.get(grant.ticketId);
-    if (entry === undefined) {
-      const isMine = held.get(grant.ticketId)?.grant.shard === grant.shard;
+    const ticket = pending.get(grant.ticketId);
+    if (ticket === undefined) {
+      const isHeld = held.get(grant.ticketId)?.grant.shard === grant.shard;
       // A second grant for a ticket that another shard served first, or that was given up.
-      if (!isMine) {
+      if (!isHeld) {
         postRelease(grant, {
           tokens: 0,
           stepMs: 0,
@@ -198,22 +198,22 @@
       return;
     }
     pending.delete(grant.ticketId);
-    removePosted(entry, grant.shard);
-    held.set(grant.ticketId, { request: entry.request, grant, tokens: 0, stepMs: 0 });
+    cancelPosts(ticket, grant.shard);
+    held.set(grant.ticketId, { request: ticket.request, grant, tokens: 0, stepMs: 0 });
     outbox.push({ kind: 'settle_grant', grant });
   }
 
   function handleRefusal(message: Extract<DeskMessage, { kind: 'refused' }>, nowMs: number): void {
-    const entry = pending.get(message.ticketId);
-    const asked = entry?.asked.get(message.shard);
-    if (entry === undefined || asked === undefined) return;
-    asked.isRefused = true;
-    entry.retryAfterMs = message.retryAfterMs;
-    entry.reason = Object.values(REFUSAL).find((name) => name === message.reason) ?? REFUSAL.Shed;
-    refuseIfAllRefused(entry, nowMs);
+    const ticket = pending.get(message.ticketId);
+    const post = ticket?.posts.get(message.shard);
+    if (ticket === undefined || post === undefined) return;
+    post.isRefused = true;
+    ticket.retryAfterMs = message.retryAfterMs;
+    ticket.reason = Object.values(REFUSAL).find((name) => name === message.reason) ?? REFUSAL.Shed;
+    refuseIfAllRefused(ticket, nowMs);
   }
 
-  function buildHeldSlot(slot: Held): HeldSlot {
+  function buildHeldSlot(slot: GrantedSlot): HeldSlot {
     return {
       $typeName: 'hyssoptally.peer.v1.HeldSlot',
       ticketId: slot.grant.ticketId,
@@ -246,42 +246,44 @@
 
   /** An owner died or moved: its successor learns what is held and what waits from here. */
   function handleRoutes(next: ReadonlyMap<string, readonly ShardRoute[]>, nowMs: number): void {
-    const before = owners;
+    const previousOwners = owners;
     routes = next;
     owners = new Map([...next.values()].flat().map((route) => [route.shard, route.owner]));
-    const moved = [...owners.keys()].filter((shard) => before.get(shard) !== owners.get(shard));
-    postHoldings(moved);
+    const movedShards = [...owners.keys()].filter(
+      (shard) => previousOwners.get(shard) !== owners.get(shard),
+    );
+    postHoldings(movedShards);
     const routeOf = new Map([...next.values()].flat().map((route) => [route.shard, route]));
-    for (const entry of pending.values()) {
-      for (const [shard, asked] of [...entry.asked]) {
+    for (const ticket of pending.values()) {
+      for (const [shard, post] of [...ticket.posts]) {
         const route = routeOf.get(shard);
-        if (route === undefined) entry.asked.delete(shard);
-        else if (route.owner !== asked.owner) postTicket(entry, route, nowMs);
+        if (route === undefined) ticket.posts.delete(shard);
+        else if (route.owner !== post.owner) postTicket(ticket, route, nowMs);
       }
-      if (entry.asked.size === 0) postToMore(entry, FIRST_SHARDS, nowMs);
-      refuseIfAllRefused(entry, nowMs);
+      if (ticket.posts.size === 0) postToMoreShards(ticket, INITIAL_SHARDS, nowMs);
+      refuseIfAllRefused(ticket, nowMs);
     }
   }
 
   function handleTick(nowMs: number): void {
-    for (const entry of pending.values()) {
-      const { request } = entry;
+    for (const ticket of pending.values()) {
+      const { request } = ticket;
       if (nowMs >= request.expiresMs) {
         pending.delete(request.ticketId);
-        removePosted(entry, undefined);
+        cancelPosts(ticket, undefined);
         outbox.push({
           kind: 'settle_refusal',
           ticketId: request.ticketId,
           reason: REFUSAL.Expired,
-          retryAfterMs: entry.retryAfterMs,
+          retryAfterMs: ticket.retryAfterMs,
         });
       } else {
-        if (nowMs - request.requestedMs >= SPILL_AFTER_MS) postElsewhere(entry, nowMs);
+        if (nowMs - request.requestedMs >= SPILLOVER_DELAY_MS) postSpillover(ticket, nowMs);
         const routeOf = new Map((routes.get(request.pool) ?? []).map((r) => [r.shard, r]));
-        for (const [shard, asked] of entry.asked) {
+        for (const [shard, post] of ticket.posts) {
           const route = routeOf.get(shard);
-          const isDue = !asked.isRefused && nowMs - asked.postedMs >= REPOST_MS;
-          if (route !== undefined && isDue) postTicket(entry, route, nowMs);
+          const isDue = !post.isRefused && nowMs - post.postedMs >= REPOST_INTERVAL_MS;
+          if (route !== undefined && isDue) postTicket(ticket, route, nowMs);
         }
       }
     }
@@ -293,9 +295,9 @@
         handleRequest(message.request, nowMs);
         break;
       case 'cancel': {
-        const entry = pending.get(message.ticketId);
+        const ticket = pending.get(message.ticketId);
         pending.delete(message.ticketId);
-        if (entry !== undefined) removePosted(entry, undefined);
+        if (ticket !== undefined) cancelPosts(ticket, undefined);
         break;
       }
       case 'release': {
--- a/src/admission/ticket.ts
+++ b/src/admission/ticket.ts
@@ -15,11 +15,11 @@
   readonly expiresMs: number;
   readonly prefixHash: number;
   readonly preemptible: boolean;
-  readonly excluded: readonly string[];
+  readonly excludedEndpoints: readonly string[];
   /** Goes on with an answer that was broken off: placed before the class's other tickets. */
   readonly isResumed: boolean;
   /** This shard was asked first: its owner may preempt for the ticket at once. */
-  readonly isFirst: boolean;
+  readonly isPrimaryShard: boolean;
 }
 
 /** Why a ticket was turned away. */
--- a/src/attempts/pace-estimator.ts
+++ b/src/attempts/pace-estimator.ts
@@ -5,15 +5,15 @@
  */
 import { createMovingAverage } from '../utils/moving-average.js';
 
-const PACE_ALPHA = 0.05;
+const LATENCY_ALPHA = 0.05;
 const GAP_FACTOR = 8;
-const GAP_MIN_MS = 250;
-const FIRST_FACTOR = 6;
-const FIRST_MIN_MS = 600;
+const GAP_TIMEOUT_MIN_MS = 250;
+const FIRST_FRAME_FACTOR = 6;
+const FIRST_FRAME_TIMEOUT_MIN_MS = 600;
 /** Before anything is known an attempt is given this long, in milliseconds. */
-const UNKNOWN_MS = 10_000;
+const DEFAULT_TIMEOUT_MS = 10_000;
 /** Samples before a bound is trusted. */
-const SAMPLES_TRUSTED = 10;
+const SAMPLES_MIN = 10;
 
 /** The pace of one pool. */
 export interface PaceEstimator {
@@ -27,17 +27,19 @@
 
 /** Builds an estimator that has seen nothing. */
 export function createPaceEstimator(): PaceEstimator {
-  const first = createMovingAverage(PACE_ALPHA);
-  const gap = createMovingAverage(PACE_ALPHA);
+  const firstFrame = createMovingAverage(LATENCY_ALPHA);
+  const gap = createMovingAverage(LATENCY_ALPHA);
   return {
-    recordFirst: (ms) => first.add(ms),
+    recordFirst: (ms) => firstFrame.add(ms),
     recordGap: (ms) => gap.add(ms),
     getGap: () => gap.get(0),
     computeFirstBound: () =>
-      first.count() < SAMPLES_TRUSTED
-        ? UNKNOWN_MS
-        : Math.max(FIRST_MIN_MS, first.get(0) * FIRST_FACTOR),
+      firstFrame.count() < SAMPLES_MIN
+        ? DEFAULT_TIMEOUT_MS
+        : Math.max(FIRST_FRAME_TIMEOUT_MIN_MS, firstFrame.get(0) * FIRST_FRAME_FACTOR),
     computeGapBound: () =>
-      gap.count() < SAMPLES_TRUSTED ? UNKNOWN_MS : Math.max(GAP_MIN_MS, gap.get(0) * GAP_FACTOR),
+      gap.count() < SAMPLES_MIN
+        ? DEFAULT_TIMEOUT_MS
+        : Math.max(GAP_TIMEOUT_MIN_MS, gap.get(0) * GAP_FACTOR),
   };
 }
--- a/src/attempts/retry-budget.ts
+++ b/src/attempts/retry-budget.ts
@@ -2,8 +2,8 @@
  * A budget of second tries: a share of what went well, not a count per request, so that a failing
  * pool is not hit harder because it fails. A small reserve lets a single crash be repaired.
  */
-const EARNED_PER_SUCCESS = 0.2;
-const RESERVE = 24;
+const RETRIES_PER_SUCCESS = 0.2;
+const RETRY_CAPACITY = 24;
 
 /** The budget of one pool and class. */
 export interface RetryBudget {
@@ -16,16 +16,16 @@
 
 /** Builds a budget with its reserve full. */
 export function createRetryBudget(): RetryBudget {
-  let left = RESERVE;
+  let remaining = RETRY_CAPACITY;
   return {
     record() {
-      left = Math.min(RESERVE, left + EARNED_PER_SUCCESS);
+      remaining = Math.min(RETRY_CAPACITY, remaining + RETRIES_PER_SUCCESS);
     },
     take() {
-      if (left < 1) return false;
-      left -= 1;
+      if (remaining < 1) return false;
+      remaining -= 1;
       return true;
     },
-    get: () => left,
+    get: () => remaining,
   };
 }
--- a/src/attempts/shared-retry-budget.test.ts
+++ b/src/attempts/shared-retry-budget.test.ts
@@ -4,7 +4,7 @@
 
 const BOUNDS = { windowMs: 10_000, ratio: 0.2, slack: 54 };
 /** An instance that starts has found the others by then, in milliseconds. */
-const FOUND_MS = 1000;
+const DISCOVERY_MS = 1000;
 
 describe('shared retry budget', ({ it }) => {
   // A pool fails while every instance repeats its calls: without a common bound the repeats would
@@ -13,26 +13,26 @@
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 9 }),
-        fc.array(fc.record({ by: fc.nat(8), afterMs: fc.nat(400) }), { maxLength: 300 }),
+        fc.array(fc.record({ instance: fc.nat(8), afterMs: fc.nat(400) }), { maxLength: 300 }),
         (instances, script) => {
           const budgets = Array.from({ length: instances }, () =>
             createSharedRetryBudget(BOUNDS, -BOUNDS.windowMs),
           );
           const calls: number[] = [];
-          const tries: number[] = [];
+          const retries: number[] = [];
           let nowMs = 0;
-          for (const { by, afterMs } of script) {
+          for (const { instance, afterMs } of script) {
             nowMs += afterMs;
-            const budget = budgets[by % instances];
+            const budget = budgets[instance % instances];
             budget?.recordCall(nowMs);
             calls.push(nowMs);
             for (let count = 0; count < 4; count += 1) {
-              if (budget?.take(instances, nowMs) === true) tries.push(nowMs);
+              if (budget?.take(instances, nowMs) === true) retries.push(nowMs);
             }
             const since = nowMs - BOUNDS.windowMs;
             const recentCalls = calls.filter((time) => time >= since).length;
-            const recentTries = tries.filter((time) => time >= since).length;
-            if (recentTries > BOUNDS.ratio * recentCalls + BOUNDS.slack) return false;
+            const recentRetries = retries.filter((time) => time >= since).length;
+            if (recentRetries > BOUNDS.ratio * recentCalls + BOUNDS.slack) return false;
           }
           return true;
         },
@@ -55,10 +55,10 @@
   // second tries pile up beyond what all may send, at the moment when the pool is weakest.
   it('keeps the tries within the bounds when instances are killed and start anew', (t) => {
     const step = fc.record({
-      by: fc.nat(8),
+      instance: fc.nat(8),
       afterMs: fc.nat(400),
       isKilled: fc.boolean(),
-      tries: fc.nat(60),
+      retryCount: fc.nat(60),
     });
     fc.assert(
       fc.property(
@@ -68,25 +68,26 @@
           const starts = Array.from({ length: instances }, () => -BOUNDS.windowMs);
           const budgets = starts.map((startedMs) => createSharedRetryBudget(BOUNDS, startedMs));
           const calls: number[] = [];
-          const tries: number[] = [];
+          const retries: number[] = [];
           let nowMs = 0;
-          for (const { by, afterMs, isKilled, tries: wanted } of script) {
+          for (const { instance, afterMs, isKilled, retryCount: retriesWanted } of script) {
             nowMs += afterMs;
-            const index = by % instances;
+            const index = instance % instances;
             if (isKilled) {
               starts[index] = nowMs;
               budgets[index] = createSharedRetryBudget(BOUNDS, nowMs);
             }
-            const isAlone = nowMs - (starts[index] ?? 0) < FOUND_MS;
+            const isAlone = nowMs - (starts[index] ?? 0) < DISCOVERY_MS;
             budgets[index]?.recordCall(nowMs);
             calls.push(nowMs);
-            for (let count = 0; count < wanted; count += 1) {
-              if (budgets[index]?.take(isAlone ? 1 : instances, nowMs) === true) tries.push(nowMs);
+            for (let count = 0; count < retriesWanted; count += 1) {
+              if (budgets[index]?.take(isAlone ? 1 : instances, nowMs) === true)
+                retries.push(nowMs);
             }
             const since = nowMs - BOUNDS.windowMs;
             const recentCalls = calls.filter((time) => time >= since).length;
-            const recentTries = tries.filter((time) => time >= since).length;
-            if (recentTries > BOUNDS.ratio * recentCalls + BOUNDS.slack) return false;
+            const recentRetries = retries.filter((time) => time >= since).length;
+            if (recentRetries > BOUNDS.ratio * recentCalls + BOUNDS.slack) return false;
           }
           return true;
         },
--- a/src/attempts/shared-retry-budget.ts
+++ b/src/attempts/shared-retry-budget.ts
@@ -15,7 +15,7 @@
 }
 
 /** Part of the bounds that is spent: arrivals bunch up on their way, and instances are added. */
-const SPENT_SHARE = 0.8;
+const USABLE_SHARE = 0.8;
 
 /** The budget of one pool at one instance. */
 export interface SharedRetryBudget {
@@ -25,7 +25,7 @@
   take(instances: number, nowMs: number): boolean;
 }
 
-function removeOlder(times: number[], beforeMs: number): void {
+function removeExpired(times: number[], beforeMs: number): void {
   let count = 0;
   while (count < times.length && (times[count] as number) < beforeMs) count += 1;
   if (count > 0) times.splice(0, count);
@@ -34,7 +34,7 @@
 /** Builds the budget of an instance that started at this monotonic moment. */
 export function createSharedRetryBudget(bounds: RetryBounds, startedMs: number): SharedRetryBudget {
   const calls: number[] = [];
-  const tries: number[] = [];
+  const retries: number[] = [];
   let instancesMax = 1;
 
   /**
@@ -42,22 +42,22 @@
    * many others share it nor what it spent before it was killed. When all are restarted together while a
    * pool fails, second tries would pile up to as many times the bound as there are instances.
    */
-  function computeConstantPart(nowMs: number): number {
+  function computeSlackShare(nowMs: number): number {
     return nowMs - startedMs < bounds.windowMs ? 0 : bounds.slack / instancesMax;
   }
 
   return {
     recordCall(nowMs) {
-      removeOlder(calls, nowMs - bounds.windowMs);
+      removeExpired(calls, nowMs - bounds.windowMs);
       calls.push(nowMs);
     },
     take(instances, nowMs) {
       instancesMax = Math.max(instancesMax, instances);
-      removeOlder(calls, nowMs - bounds.windowMs);
-      removeOlder(tries, nowMs - bounds.windowMs);
-      const allowed = bounds.ratio * calls.length + computeConstantPart(nowMs);
-      if (tries.length + 1 > allowed * SPENT_SHARE) return false;
-      tries.push(nowMs);
+      removeExpired(calls, nowMs - bounds.windowMs);
+      removeExpired(retries, nowMs - bounds.windowMs);
+      const allowed = bounds.ratio * calls.length + computeSlackShare(nowMs);
+      if (retries.length + 1 > allowed * USABLE_SHARE) return false;
+      retries.push(nowMs);
       return true;
     },
   };
--- a/src/limits/organisation-limits.ts
+++ b/src/limits/organisation-limits.ts
@@ -7,15 +7,15 @@
 import { createBoundedMap } from '../utils/bounded-map.js';
 import type { OrganisationDeclaration } from '../types/declarations.js';
 
-const ORGANISATIONS_KEPT = 8192;
+const ORGANISATIONS_MAX = 8192;
 const DEMAND_WINDOW_MS = 1000;
 const DEMAND_ALPHA = 0.5;
 /** Demand is reported once it is at least this part of the declared rate. */
-const REPORTED_SHARE = 0.1;
+const REPORTED_RATE_SHARE = 0.1;
 /** Organisations reported at the most: a node's bytes must not grow with its organisations. */
 const REPORTED_MAX = 16;
 /** A report is renewed when demand differs from it by more than this part. */
-const DIVERGENCE = 0.25;
+const REPORT_CHANGE_SHARE = 0.25;
 /** Seconds of rate an organisation may save up. */
 const BURST_SECONDS = 2;
 
@@ -38,12 +38,12 @@
 
 interface Usage {
   running: number;
-  allowance: number;
+  bucketLevel: number;
   refilledMs: number;
   arrivals: number;
   windowMs: number;
   demand: number;
-  reported: number;
+  reportedDemand: number;
 }
 
 /** Limits as one entry holds them. */
@@ -57,21 +57,21 @@
 
 /** Builds a limiter that has seen nothing. */
 export function createOrganisationLimiter(): OrganisationLimiter {
-  const usages = createBoundedMap<string, Usage>(ORGANISATIONS_KEPT);
-  const near = new Set<string>();
+  const usages = createBoundedMap<string, Usage>(ORGANISATIONS_MAX);
+  const reportable = new Set<string>();
   let hasReported = false;
 
-  function findUsage(organisation: OrganisationDeclaration, nowMs: number): Usage {
+  function getUsage(organisation: OrganisationDeclaration, nowMs: number): Usage {
     const known = usages.get(organisation.name);
     if (known !== undefined) return known;
     const usage: Usage = {
       running: 0,
-      allowance: organisation.limits.requestsPerSecond * BURST_SECONDS,
+      bucketLevel: organisation.limits.requestsPerSecond * BURST_SECONDS,
       refilledMs: nowMs,
       arrivals: 0,
       windowMs: nowMs,
       demand: 0,
-      reported: 0,
+      reportedDemand: 0,
     };
     usages.set(organisation.name, usage);
     return usage;
@@ -80,42 +80,43 @@
   function advanceDemand(usage: Usage, nowMs: number): void {
     const elapsedMs = nowMs - usage.windowMs;
     if (elapsedMs < DEMAND_WINDOW_MS) return;
-    const seen = (usage.arrivals * 1000) / elapsedMs;
-    usage.demand += (seen - usage.demand) * DEMAND_ALPHA;
+    const windowDemand = (usage.arrivals * 1000) / elapsedMs;
+    usage.demand += (windowDemand - usage.demand) * DEMAND_ALPHA;
     usage.arrivals = 0;
     usage.windowMs = nowMs;
   }
 
   /** This entry's part of a fleet-wide limit, 0 to 1. */
-  function computeShare(usage: Usage, others: number, entries: number): number {
-    const even = 1 / Math.max(1, entries);
-    const total = usage.demand + others;
-    if (total <= 0) return even;
+  function computeShare(usage: Usage, peerDemand: number, instances: number): number {
+    const evenShare = 1 / Math.max(1, instances);
+    const total = usage.demand + peerDemand;
+    if (total <= 0) return evenShare;
     // Half an even share stays free, so that an entry whose demand just began is not shut out.
-    return Math.max(even / 2, Math.min(1, usage.demand / total));
+    return Math.max(evenShare / 2, Math.min(1, usage.demand / total));
   }
 
   return {
     take(organisation, peers, nowMs) {
-      const usage = findUsage(organisation, nowMs);
+      const usage = getUsage(organisation, nowMs);
       advanceDemand(usage, nowMs);
       usage.arrivals += 1;
       const { concurrency, requestsPerSecond } = organisation.limits;
-      if (usage.demand >= requestsPerSecond * REPORTED_SHARE) near.add(organisation.name);
-      const others = peers.getDemand(organisation.name);
-      const share = computeShare(usage, others, peers.entries);
+      if (usage.demand >= requestsPerSecond * REPORTED_RATE_SHARE)
+        reportable.add(organisation.name);
+      const peerDemand = peers.getDemand(organisation.name);
+      const share = computeShare(usage, peerDemand, peers.entries);
       const rate = requestsPerSecond * share;
       const refill = ((nowMs - usage.refilledMs) / 1000) * rate;
-      usage.allowance = Math.min(rate * BURST_SECONDS, usage.allowance + refill);
+      usage.bucketLevel = Math.min(rate * BURST_SECONDS, usage.bucketLevel + refill);
       usage.refilledMs = nowMs;
-      if (usage.allowance < 1) {
-        const retryAfterMs = Math.ceil(((1 - usage.allowance) / Math.max(rate, 0.001)) * 1000);
+      if (usage.bucketLevel < 1) {
+        const retryAfterMs = Math.ceil(((1 - usage.bucketLevel) / Math.max(rate, 0.001)) * 1000);
         return { kind: 'limited', limit: 'rate', retryAfterMs };
       }
       if (usage.running >= Math.max(1, Math.ceil(concurrency * share))) {
         return { kind: 'limited', limit: 'concurrency', retryAfterMs: 1000 };
       }
-      usage.allowance -= 1;
+      usage.bucketLevel -= 1;
       usage.running += 1;
       return { kind: 'admitted' };
     },
@@ -124,15 +125,16 @@
       if (usage !== undefined) usage.running = Math.max(0, usage.running - 1);
     },
     takeReport(nowMs) {
-      let isDiverged = false;
+      let isReportStale = false;
       const shares: DemandShare[] = [];
-      for (const name of near) {
+      for (const name of reportable) {
         const usage = usages.get(name);
         if (usage !== undefined) {
           advanceDemand(usage, nowMs);
-          const drift = Math.abs(usage.demand - usage.reported);
-          if (drift > DIVERGENCE * Math.max(usage.reported, 0.1)) isDiverged = true;
-          if (usage.demand < 0.05) near.delete(name);
+          const change = Math.abs(usage.demand - usage.reportedDemand);
+          if (change > REPORT_CHANGE_SHARE * Math.max(usage.reportedDemand, 0.1))
+            isReportStale = true;
+          if (usage.demand < 0.05) reportable.delete(name);
           else {
             shares.push({
               $typeName: 'hyssoptally.peer.v1.DemandShare',
@@ -142,12 +144,12 @@
           }
         }
       }
-      if (!isDiverged || (shares.length === 0 && !hasReported)) return undefined;
+      if (!isReportStale || (shares.length === 0 && !hasReported)) return undefined;
       shares.sort((a, b) => b.rate - a.rate);
       const reported = shares.slice(0, REPORTED_MAX);
       for (const share of reported) {
         const usage = usages.get(share.organisation);
-        if (usage !== undefined) usage.reported = share.rate;
+        if (usage !== undefined) usage.reportedDemand = share.rate;
       }
       hasReported = reported.length > 0;
       return reported;
--- a/src/routes/route-standing.ts
+++ b/src/routes/route-standing.ts
@@ -26,22 +26,22 @@
   nextPauseMs: Infinity,
 };
 
-function countPriorities(routes: readonly Route[]): number {
+function countDistinctPriorities(routes: readonly Route[]): number {
   return new Set(routes.map(({ priority }) => priority)).size;
 }
 
-function computePauseMs(routes: readonly Route[]): number {
+function computeShortestPauseMs(routes: readonly Route[]): number {
   return Math.min(...routes.map(({ gapTargetMs }) => gapTargetMs ?? Infinity));
 }
 
 function computeStanding(route: Route, routes: readonly Route[]): RouteStanding {
-  const urgent = routes.filter(({ priority }) => priority < route.priority);
-  const first = Math.min(...routes.map(({ priority }) => priority));
+  const moreUrgent = routes.filter(({ priority }) => priority < route.priority);
+  const mostUrgent = Math.min(...routes.map(({ priority }) => priority));
   return {
-    rank: countPriorities(urgent),
-    ranks: Math.max(1, countPriorities(routes)),
-    urgentPauseMs: computePauseMs(urgent),
-    nextPauseMs: computePauseMs(urgent.filter(({ priority }) => priority > first)),
+    rank: countDistinctPriorities(moreUrgent),
+    ranks: Math.max(1, countDistinctPriorities(routes)),
+    urgentPauseMs: computeShortestPauseMs(moreUrgent),
+    nextPauseMs: computeShortestPauseMs(moreUrgent.filter(({ priority }) => priority > mostUrgent)),
   };
 }
 
@@ -57,14 +57,15 @@
       streamsOfPool.set(pool, streams);
     }
   }
-  const known = new Map<string, WeakMap<Route, RouteStanding>>();
+  const ranksOfPool = new Map<string, WeakMap<Route, RouteStanding>>();
 
   return {
     get(route, pool) {
-      const ofPool = known.get(pool) ?? new WeakMap<Route, RouteStanding>();
-      known.set(pool, ofPool);
-      const standing = ofPool.get(route) ?? computeStanding(route, streamsOfPool.get(pool) ?? []);
-      ofPool.set(route, standing);
+      const poolRanks = ranksOfPool.get(pool) ?? new WeakMap<Route, RouteStanding>();
+      ranksOfPool.set(pool, poolRanks);
+      const standing =
+        poolRanks.get(route) ?? computeStanding(route, streamsOfPool.get(pool) ?? []);
+      poolRanks.set(route, standing);
       return standing;
     },
   };
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -58,10 +58,10 @@
 /** Picks a pool by weight; the same call id always falls on the same pool. */
 export function choosePool(route: Route, callId: string): string | undefined {
   const total = route.pools.reduce((sum, { weight }) => sum + weight, 0);
-  let rest = (hashName(`${route.name}|${callId}`) / 2 ** 32) * total;
+  let offset = (hashName(`${route.name}|${callId}`) / 2 ** 32) * total;
   for (const { pool, weight } of route.pools) {
-    rest -= weight;
-    if (rest < 0) return pool;
+    offset -= weight;
+    if (offset < 0) return pool;
   }
   return route.pools.at(-1)?.pool;
 }
--- a/src/routes/urgency.ts
+++ b/src/routes/urgency.ts
@@ -10,7 +10,7 @@
 import type { CallingOrganisation, Route, TrafficConfiguration } from '../types/traffic.js';
 
 /** Ranks that an engine tells apart. */
-const RANKS = 10;
+const URGENCY_LEVELS = 10;
 
 /** Ranks of one configuration. */
 export interface UrgencyRanks {
@@ -33,22 +33,22 @@
 
 /** Indexes a configuration's priorities. Pairs beyond the ranks share one with their neighbours. */
 export function createUrgencyRanks(configuration: TrafficConfiguration): UrgencyRanks {
-  const declared = configuration.organisations
+  const declaredPriorities = configuration.organisations
     .map(({ priority }) => priority)
     .filter((priority) => priority !== undefined);
-  const ofOrganisations = listDistinct(declared);
-  const ofRoutes = listDistinct(configuration.routes.map(({ priority }) => priority));
-  const pairs = Math.max(1, ofOrganisations.length) * Math.max(1, ofRoutes.length);
+  const organisationPriorities = listDistinct(declaredPriorities);
+  const routePriorities = listDistinct(configuration.routes.map(({ priority }) => priority));
+  const pairs = Math.max(1, organisationPriorities.length) * Math.max(1, routePriorities.length);
   // A call without an organisation, or whose organisation states nothing, ranks like most others.
-  const common = findCommonPriority(declared);
+  const commonPriority = findCommonPriority(declaredPriorities);
   return {
     compute(route, organisation) {
-      const priority = organisation?.priority ?? common;
+      const priority = organisation?.priority ?? commonPriority;
       const organisationRank =
-        priority === undefined ? 0 : Math.max(0, ofOrganisations.indexOf(priority));
-      const routeRank = Math.max(0, ofRoutes.indexOf(route.priority));
-      const rank = routeRank * Math.max(1, ofOrganisations.length) + organisationRank;
-      return pairs <= RANKS ? rank : Math.floor((rank * RANKS) / pairs);
+        priority === undefined ? 0 : Math.max(0, organisationPriorities.indexOf(priority));
+      const routeRank = Math.max(0, routePriorities.indexOf(route.priority));
+      const rank = routeRank * Math.max(1, organisationPriorities.length) + organisationRank;
+      return pairs <= URGENCY_LEVELS ? rank : Math.floor((rank * URGENCY_LEVELS) / pairs);
     },
   };
 }
--- a/src/routing/endpoint-table.ts
+++ b/src/routing/endpoint-table.ts
@@ -10,21 +10,21 @@
 
 const STEP_ALPHA = 0.2;
 /** Samples before a step time is trusted for ejection. */
-const STEP_SAMPLES_TRUSTED = 4;
+const STEP_SAMPLES_MIN = 4;
 /** A step this many times the median marks a straggler. */
 const STRAGGLER_FACTOR = 3;
 /** A straggler returns once its step is below this many times the median. */
-const RETURN_FACTOR = 1.8;
+const STRAGGLER_RECOVERY_FACTOR = 1.8;
 /** Failures in a row that eject an endpoint. */
 const FAILURES_TO_EJECT = 2;
-const EJECTION_MS = 1000;
+const EJECTION_BASE_MS = 1000;
 const EJECTION_MAX_MS = 30_000;
 /** Time in which a newcomer's slots grow to the declared number, in milliseconds. */
 const SLOW_START_MS = 2000;
 /** A cached prefix wins unless its endpoint scores this many times worse. */
-const PREFIX_TOLERANCE = 1.5;
+const PREFIX_SCORE_TOLERANCE = 1.5;
 /** Looks without an answer after which an endpoint is out of reach. */
-const LOOKS_MISSED_MAX = 2;
+const FAILED_PROBES_MAX = 2;
 /** At most this share of a shard is ejected at once. */
 const EJECTED_SHARE_MAX = 0.5;
 
@@ -51,7 +51,7 @@
 export interface Placement {
   readonly organisation: string;
   readonly prefixHash: number;
-  readonly excluded: readonly string[];
+  readonly excludedEndpoints: readonly string[];
 }
 
 interface EndpointState {
@@ -59,14 +59,14 @@
   held: number;
   isLeaving: boolean;
   /** Looks in a row that got no answer. */
-  missedLooks: number;
+  failedProbes: number;
   status: EndpointStatus;
   step: MovingAverage;
   failures: number;
   ejections: number;
   ejectedUntilMs: number;
   /** When slow start began; -Infinity for an endpoint known from the start. */
-  rampFromMs: number;
+  slowStartedMs: number;
 }
 
 /** The endpoints of one shard. */
@@ -82,11 +82,11 @@
   recordFailure(endpoint: string, nowMs: number): void;
   setLeaving(endpoint: string, isLeaving: boolean): void;
   /** Records whether a look at an endpoint, apart from requests, got an answer. */
-  recordSeen(endpoint: string, isReachable: boolean): void;
+  recordProbe(endpoint: string, isReachable: boolean): void;
   /** Endpoints of these data centres count as unreachable until a look gets an answer. */
-  setCutOff(dataCentres: ReadonlySet<string>): void;
+  setPartitioned(dataCentres: ReadonlySet<string>): void;
   /** Slots that may be granted now, over all endpoints. */
-  countUsable(nowMs: number): number;
+  countFreeSlots(nowMs: number): number;
   countSlots(): number;
   list(): EndpointView[];
 }
@@ -94,8 +94,8 @@
 /** Builds a table that samples candidates with `random`. */
 export function createEndpointTable(random: Random): EndpointTable {
   const states = new Map<string, EndpointState>();
-  let isFirstSet = true;
-  let cutOff: ReadonlySet<string> = new Set();
+  let isInitial = true;
+  let partitioned: ReadonlySet<string> = new Set();
 
   function computeMedianStep(): number {
     const steps = [...states.values()]
@@ -120,15 +120,15 @@
    * after the other. Looks find out instead; this is not ejection by judgement, so it has no bound.
    */
   function isUnreachable(state: EndpointState): boolean {
-    const isCutOff = cutOff.has(state.declaration.dataCentre);
-    return state.missedLooks >= (isCutOff ? 1 : LOOKS_MISSED_MAX);
+    const isPartitioned = partitioned.has(state.declaration.dataCentre);
+    return state.failedProbes >= (isPartitioned ? 1 : FAILED_PROBES_MAX);
   }
 
-  function countAllowed(state: EndpointState, nowMs: number): number {
+  function computeSlotLimit(state: EndpointState, nowMs: number): number {
     if (state.isLeaving || isUnreachable(state)) return 0;
     if (state.status === ENDPOINT_STATUS.Straggler) return 1;
     if (state.status === ENDPOINT_STATUS.Failing) return nowMs >= state.ejectedUntilMs ? 1 : 0;
-    const ramp = Math.min(1, (nowMs - state.rampFromMs) / SLOW_START_MS);
+    const ramp = Math.min(1, (nowMs - state.slowStartedMs) / SLOW_START_MS);
     return Math.max(1, Math.ceil(state.declaration.slots * ramp));
   }
 
@@ -142,27 +142,27 @@
     return state.step.get(medianStep || 1) * (1 + load);
   }
 
-  function listFree(excluded: readonly string[], nowMs: number): EndpointState[] {
+  function listAvailable(excluded: readonly string[], nowMs: number): EndpointState[] {
     const free: EndpointState[] = [];
     for (const state of states.values()) {
-      const isFree = state.held < countAllowed(state, nowMs);
+      const isFree = state.held < computeSlotLimit(state, nowMs);
       if (isFree && !excluded.includes(state.declaration.name)) free.push(state);
     }
     return free;
   }
 
-  function findStragglers(nowMs: number): void {
+  function updateStragglers(nowMs: number): void {
     const median = computeMedianStep();
     if (median === 0) return;
     for (const state of states.values()) {
       const ratio = state.step.get(median) / median;
-      const isTrusted = state.step.count() >= STEP_SAMPLES_TRUSTED;
-      if (state.status === ENDPOINT_STATUS.Straggler && ratio < RETURN_FACTOR) {
+      const hasEnoughSamples = state.step.count() >= STEP_SAMPLES_MIN;
+      if (state.status === ENDPOINT_STATUS.Straggler && ratio < STRAGGLER_RECOVERY_FACTOR) {
         state.status = ENDPOINT_STATUS.Ready;
-        state.rampFromMs = nowMs;
+        state.slowStartedMs = nowMs;
       } else if (
         state.status === ENDPOINT_STATUS.Ready &&
-        isTrusted &&
+        hasEnoughSamples &&
         ratio > STRAGGLER_FACTOR &&
         isEjectionAllowed()
       ) {
@@ -184,31 +184,31 @@
             declaration,
             held: 0,
             isLeaving: false,
-            missedLooks: 0,
+            failedProbes: 0,
             status: ENDPOINT_STATUS.Ready,
             step: createMovingAverage(STEP_ALPHA),
             failures: 0,
             ejections: 0,
             ejectedUntilMs: 0,
-            rampFromMs: isFirstSet ? -Infinity : nowMs,
+            slowStartedMs: isInitial ? -Infinity : nowMs,
           });
         }
       }
-      isFirstSet = false;
+      isInitial = false;
     },
     choose(placement, cached, nowMs) {
-      let free = listFree(placement.excluded, nowMs);
-      if (free.length === 0) free = listFree([], nowMs);
-      const first = free[random.nextIndex(free.length)];
-      const second = free[random.nextIndex(free.length)];
+      let available = listAvailable(placement.excludedEndpoints, nowMs);
+      if (available.length === 0) available = listAvailable([], nowMs);
+      const first = available[random.nextIndex(available.length)];
+      const second = available[random.nextIndex(available.length)];
       if (first === undefined || second === undefined) return undefined;
       const median = computeMedianStep();
       const best = computeScore(first, median) <= computeScore(second, median) ? first : second;
-      const warm = free.find((state) => state.declaration.name === cached);
+      const warm = available.find((state) => state.declaration.name === cached);
       if (warm === undefined) return best.declaration.name;
-      const isWarmWorthIt =
-        computeScore(warm, median) <= computeScore(best, median) * PREFIX_TOLERANCE;
-      return (isWarmWorthIt ? warm : best).declaration.name;
+      const isWarmPreferred =
+        computeScore(warm, median) <= computeScore(best, median) * PREFIX_SCORE_TOLERANCE;
+      return (isWarmPreferred ? warm : best).declaration.name;
     },
     take(endpoint) {
       const state = states.get(endpoint);
@@ -222,7 +222,7 @@
       const state = states.get(endpoint);
       if (state === undefined || !(stepMs > 0)) return;
       state.step.add(stepMs);
-      findStragglers(nowMs);
+      updateStragglers(nowMs);
     },
     recordSuccess(endpoint) {
       const state = states.get(endpoint);
@@ -240,32 +240,33 @@
       const isDue = state.failures >= FAILURES_TO_EJECT && isEjectionAllowed();
       if (!isProbeFailed && !isDue) return;
       state.status = ENDPOINT_STATUS.Failing;
-      state.ejectedUntilMs = nowMs + Math.min(EJECTION_MAX_MS, EJECTION_MS * 2 ** state.ejections);
+      state.ejectedUntilMs =
+        nowMs + Math.min(EJECTION_MAX_MS, EJECTION_BASE_MS * 2 ** state.ejections);
       state.ejections += 1;
     },
     setLeaving(endpoint, isLeaving) {
       const state = states.get(endpoint);
       if (state !== undefined) state.isLeaving = isLeaving;
     },
-    recordSeen(endpoint, isReachable) {
+    recordProbe(endpoint, isReachable) {
       const state = states.get(endpoint);
-      if (state !== undefined) state.missedLooks = isReachable ? 0 : state.missedLooks + 1;
+      if (state !== undefined) state.failedProbes = isReachable ? 0 : state.failedProbes + 1;
     },
-    setCutOff(dataCentres) {
+    setPartitioned(dataCentres) {
       for (const state of states.values()) {
         const { dataCentre } = state.declaration;
         // Newly out of sight: nothing is granted there until a look gets an answer.
-        const isNew = dataCentres.has(dataCentre) && !cutOff.has(dataCentre);
-        if (isNew) state.missedLooks = Math.max(1, state.missedLooks);
+        const isNewlyPartitioned = dataCentres.has(dataCentre) && !partitioned.has(dataCentre);
+        if (isNewlyPartitioned) state.failedProbes = Math.max(1, state.failedProbes);
       }
-      cutOff = dataCentres;
+      partitioned = dataCentres;
     },
-    countUsable(nowMs) {
-      let usable = 0;
+    countFreeSlots(nowMs) {
+      let freeSlots = 0;
       for (const state of states.values()) {
-        usable += Math.max(0, countAllowed(state, nowMs) - state.held);
+        freeSlots += Math.max(0, computeSlotLimit(state, nowMs) - state.held);
       }
-      return usable;
+      return freeSlots;
     },
     countSlots() {
       let slots = 0;
--- a/src/routing/length-estimator.ts
+++ b/src/routing/length-estimator.ts
@@ -8,10 +8,10 @@
 
 const LENGTH_ALPHA = 0.05;
 /** Assumed before the first answer of a class has ended, in tokens. */
-const LENGTH_UNKNOWN = 64;
+const DEFAULT_LENGTH_TOKENS = 64;
 /** Samples after which an organisation's own mean is used in place of the class's. */
-const OWN_SAMPLES = 8;
-const KEYS_KEPT = 4096;
+const ORGANISATION_SAMPLES_MIN = 8;
+const ORGANISATION_MEANS_MAX = 4096;
 
 /** Expected answer lengths. */
 export interface LengthEstimator {
@@ -21,22 +21,23 @@
 
 /** Builds an estimator that has seen nothing. */
 export function createLengthEstimator(): LengthEstimator {
-  const classes = new Map<string, MovingAverage>();
-  const own = createBoundedMap<string, MovingAverage>(KEYS_KEPT);
+  const classMeans = new Map<string, MovingAverage>();
+  const organisationMeans = createBoundedMap<string, MovingAverage>(ORGANISATION_MEANS_MAX);
   return {
     predict(className, organisation) {
-      const mine = own.get(`${className}|${organisation}`);
-      if (mine !== undefined && mine.count() >= OWN_SAMPLES) return mine.get(LENGTH_UNKNOWN);
-      return classes.get(className)?.get(LENGTH_UNKNOWN) ?? LENGTH_UNKNOWN;
+      const organisationMean = organisationMeans.get(`${className}|${organisation}`);
+      if (organisationMean !== undefined && organisationMean.count() >= ORGANISATION_SAMPLES_MIN)
+        return organisationMean.get(DEFAULT_LENGTH_TOKENS);
+      return classMeans.get(className)?.get(DEFAULT_LENGTH_TOKENS) ?? DEFAULT_LENGTH_TOKENS;
     },
     record(className, organisation, tokens) {
       const key = `${className}|${organisation}`;
-      const mine = own.get(key) ?? createMovingAverage(LENGTH_ALPHA);
-      const shared = classes.get(className) ?? createMovingAverage(LENGTH_ALPHA);
-      mine.add(tokens);
-      shared.add(tokens);
-      own.set(key, mine);
-      classes.set(className, shared);
+      const organisationMean = organisationMeans.get(key) ?? createMovingAverage(LENGTH_ALPHA);
+      const classMean = classMeans.get(className) ?? createMovingAverage(LENGTH_ALPHA);
+      organisationMean.add(tokens);
+      classMean.add(tokens);
+      organisationMeans.set(key, organisationMean);
+      classMeans.set(className, classMean);
     },
   };
 }
--- a/src/routing/prefix-index.ts
+++ b/src/routing/prefix-index.ts
@@ -9,7 +9,7 @@
 /** Prefixes kept for one organisation. */
 const PREFIXES_PER_ORGANISATION = 64;
 /** Organisations with prefixes kept in one shard. */
-const ORGANISATIONS_KEPT = 512;
+const ORGANISATIONS_MAX = 512;
 
 /** The index of one shard. */
 export interface PrefixIndex {
@@ -19,7 +19,7 @@
 
 /** Builds an empty index. */
 export function createPrefixIndex(): PrefixIndex {
-  const organisations = createBoundedMap<string, BoundedMap<number, string>>(ORGANISATIONS_KEPT);
+  const organisations = createBoundedMap<string, BoundedMap<number, string>>(ORGANISATIONS_MAX);
   return {
     find: (organisation, prefixHash) => organisations.get(organisation)?.get(prefixHash),
     record(organisation, prefixHash, endpoint) {
