--- a/src/admission/class-queue.ts
+++ b/src/admission/class-queue.ts
@@ -1,8 +1,8 @@
 /**
- * The waiting tickets of one class. Organisations take turns by virtual counters of tokens actually
- * produced, divided by weight (as in fair queueing): who has had least goes first, and an
- * organisation that was away comes back level with the others, not with saved-up credit. Answers that
- * were broken off go before all: what they have had is charged already, and is lost if they end late.
+ * The waiting tickets of one class. Organisations are scheduled by virtual token counters (fair
+ * queueing): each counter grows by tokens produced, divided by weight, and the lowest is served first.
+ * An organisation that was idle starts at the lowest active counter, so idling earns no credit. Tickets
+ * of interrupted responses go first, since the tokens already produced are lost if they end late.
  */
 import { createBoundedMap } from '../utils/bounded-map.js';
 import type { Ticket } from './ticket.js';
@@ -14,25 +14,24 @@
   add(ticket: Ticket): void;
   remove(ticketId: string): Ticket | undefined;
   /**
-   * The ticket that is next, left in place: by fair share among organisations, oldest first, of those
-   * that `isPromising` holds for; where it holds for none, the one with most time left.
+   * The next ticket, without removing it: the oldest one that satisfies `isDeadlineSafe`, of the
+   * organisation with the lowest counter. If none does, the one with the latest deadline.
    */
   findNext(isDeadlineSafe: (ticket: Ticket) => boolean): Ticket | undefined;
-  /** The newest ticket of the organisation with most waiting: what a full queue sheds. */
+  /** The newest ticket of the organisation with most tickets, to be shed when the queue is full. */
   findShedCandidate(): Ticket | undefined;
-  /** Adds tokens, divided by weight, to an organisation's counter; negative to settle. */
+  /** Adds tokens, divided by weight, to an organisation's counter; negative for a correction. */
   addTokens(organisation: string, tokens: number): void;
   count(): number;
   countOf(organisation: string): number;
-  /** Organisations with something waiting. */
+  /** Organisations with waiting tickets. */
   countOrganisations(): number;
   list(): Ticket[];
 }
 
-/** Builds an empty queue. */
 export function createClassQueue(): ClassQueue {
   const queues = new Map<string, Ticket[]>();
-  /** Waiting tickets of broken answers, oldest first. */
+  /** Oldest first. */
   const resumedTickets = new Map<string, Ticket>();
   const organisationOf = new Map<string, string>();
   const counters = createBoundedMap<string, number>(TOKEN_COUNTERS_MAX);
--- a/src/admission/departure-rate.ts
+++ b/src/admission/departure-rate.ts
@@ -1,19 +1,17 @@
 /**
- * How fast a class's tickets leave a queue, by grant here or elsewhere. Waiting time is predicted
- * from this alone, so the estimate needs no step time, no length and no knowledge of other shards,
- * and a wrong one corrects itself within a window or two.
+ * Moving average of the rate at which tickets leave a class's queue, by a grant here or elsewhere.
+ * Predicting queueing delay from it needs no knowledge of response lengths or other shards.
  */
 const WINDOW_MS = 1000;
 const WINDOW_ALPHA = 0.4;
 
-/** Departures a millisecond. */
+/** Departures per millisecond. */
 export interface DepartureRate {
   record(nowMs: number): void;
   /** The rate, or undefined before the first full window. */
   compute(nowMs: number): number | undefined;
 }
 
-/** Builds a rate that has seen nothing. */
 export function createDepartureRate(): DepartureRate {
   let windowStartMs: number | undefined;
   let departures = 0;
--- a/src/admission/desk-messages.ts
+++ b/src/admission/desk-messages.ts
@@ -1,15 +1,15 @@
-/** What a ticket desk is told and asks for. */
+/** Messages to the ticket client and commands from it. */
 import type { SlotEnding } from '../gen/peer_pb.js';
 import type { AddressedMessage } from '../types/peer-messages.js';
 import type { Refusal } from './ticket.js';
 
-/** One shard as an entry sees it. */
+/** A shard and its owning instance. */
 export interface ShardRoute {
   readonly shard: string;
   readonly owner: string;
 }
 
-/** What an entry asks a slot for. */
+/** A request for a slot in a pool. */
 export interface SlotRequest {
   readonly ticketId: string;
   readonly pool: string;
@@ -25,7 +25,7 @@
   readonly isResumed: boolean;
 }
 
-/** A slot granted to this entry. */
+/** A slot granted to this instance. */
 export interface HeldGrant {
   readonly ticketId: string;
   readonly shard: string;
@@ -33,7 +33,7 @@
   readonly isFloor: boolean;
 }
 
-/** How a slot was used, told to its owner. */
+/** Usage of a slot, reported to its owner on release. */
 export interface SlotUse {
   readonly tokens: number;
   readonly stepMs: number;
@@ -41,7 +41,7 @@
   readonly ending: SlotEnding;
 }
 
-/** What a desk is told. */
+/** Input of the ticket client. */
 export type DeskMessage =
   | { readonly kind: 'request'; readonly request: SlotRequest }
   | { readonly kind: 'cancel'; readonly ticketId: string }
@@ -65,7 +65,7 @@
   | { readonly kind: 'report' }
   | { readonly kind: 'tick' };
 
-/** What a desk asks its shell to do. */
+/** Side effects that the caller of the ticket client carries out. */
 export type DeskCommand =
   | { readonly kind: 'send'; readonly message: AddressedMessage }
   | { readonly kind: 'settle_grant'; readonly grant: HeldGrant }
--- a/src/admission/floor-credit.ts
+++ b/src/admission/floor-credit.ts
@@ -1,43 +1,38 @@
 /**
- * A class's floor, kept as credit in slot-milliseconds. Credit grows while the class has waiting
- * work and holds fewer contest slots than its floor; a floor grant costs what the class usually
- * holds a slot for, settled when the slot comes back. So over any long stretch of contention the
- * class gets at least its floor of the shard's slot time, in whole requests, at the next free slot
- * and never by preemption; unused credit is lent by simply not being asked for.
+ * Credit in slot-milliseconds that guarantees a class its floor, the declared share of the shard's
+ * slots. Credit accrues while the class has queued tickets and holds fewer priority slots than its
+ * floor. A floor grant is charged the mean hold time and settled on release. Under sustained contention
+ * the class thus gets at least its floor, without preemption. Unused credit is lent to other classes.
  */
 import { createMovingAverage } from '../utils/moving-average.js';
 import { createRecentQuantile } from '../utils/recent-quantile.js';
 
 const HOLD_ALPHA = 0.1;
-/** Assumed until the class's first slot came back, in milliseconds. */
 const DEFAULT_HOLD_MS = 500;
-/** Credit is capped at this many usual holds, so that a long wait does not turn into a burst. */
+/** Limits the burst after a long wait, in mean hold times. */
 const CREDIT_MAX_HOLDS = 1.5;
-
-/** Nearly every answer of the class holds a slot no longer than this quantile of the last ones. */
 const TAIL_HOLD_QUANTILE = 0.98;
 const TAIL_HOLD_SAMPLES = 128;
 
-/** Credit of one class. */
+/** Floor credit of one class. */
 export interface FloorCredit {
-  /** Accounts for `elapsedMs` in which the class had waiting work. */
+  /** Accrues credit for `elapsedMs` during which the class had queued tickets. */
   advance(elapsedMs: number, floorSlots: number, priorityHeld: number): void;
-  /** Whether the next free slot is the class's by its floor. */
+  /** Whether the credit pays for a floor grant. */
   isDue(): boolean;
-  /** Pays for a floor grant. */
+  /** Charges a floor grant. */
   take(): void;
   /**
-   * Learns how long a slot was held, and settles a floor grant's price. `isWhole`: for an answer
-   * from its beginning to its end; pieces of answers say little of how long one may take.
+   * Records a hold time and settles the charge of a floor grant. `isComplete` is false for interrupted
+   * or resumed responses, whose shorter holds would bias the tail.
    */
   record(heldMs: number, wasFloor: boolean, isComplete: boolean): void;
-  /** The price of one grant, in slot-milliseconds. */
   getMeanHoldMs(): number;
-  /** How long a slot may well be held, in milliseconds; 0 while unknown. */
+  /** High quantile of recent hold times; 0 while unknown. */
   getTailHoldMs(): number;
 }
 
-/** Builds a class's credit, at nothing. */
+/** Creates an account without credit. */
 export function createFloorCredit(): FloorCredit {
   const meanHold = createMovingAverage(HOLD_ALPHA);
   const tailHold = createRecentQuantile(TAIL_HOLD_QUANTILE, TAIL_HOLD_SAMPLES);
@@ -55,7 +50,7 @@
     record(heldMs, wasFloor, isComplete) {
       if (wasFloor) credit += getMeanHoldMs() - heldMs;
       meanHold.add(heldMs);
-      // A piece longer than what is thought long for a whole answer says that much at least.
+      // A partial hold above the tail is a lower bound of a complete one.
       if (isComplete || heldMs > tailHold.get(Infinity)) tailHold.add(heldMs);
     },
     getMeanHoldMs,
--- a/src/admission/owner-messages.ts
+++ b/src/admission/owner-messages.ts
@@ -1,4 +1,4 @@
-/** What a shard owner is told, shows and is built from. */
+/** Input, status and options of a shard owner. */
 import type { HeldSlot, PostTicket, ReleaseSlot } from '../gen/peer_pb.js';
 import type { EndpointView } from '../routing/endpoint-table.js';
 import type { Invariants } from '../runtime/invariants.js';
@@ -6,7 +6,7 @@
 import type { AddressedMessage } from '../types/peer-messages.js';
 import type { Random } from '../utils/random.js';
 
-/** Everything a shard owner is told. */
+/** Input of a shard owner. */
 export type OwnerMessage =
   | {
       readonly kind: 'configure';
@@ -20,13 +20,13 @@
   | { readonly kind: 'holdings'; readonly from: string; readonly held: readonly HeldSlot[] }
   | { readonly kind: 'member_gone'; readonly member: string }
   | { readonly kind: 'endpoint_leaving'; readonly endpoint: string; readonly isLeaving: boolean }
-  /** What looking at an endpoint brought, apart from requests. */
+  /** Result of a health probe. */
   | { readonly kind: 'endpoint_seen'; readonly endpoint: string; readonly isReachable: boolean }
-  /** Data centres without a live entry in sight: their endpoints may be behind a cut. */
+  /** Data centres without a known live instance, possibly behind a network partition. */
   | { readonly kind: 'cut_off'; readonly dataCentres: ReadonlySet<string> }
   | { readonly kind: 'tick' };
 
-/** What operators see of a shard. */
+/** Shard status for operators. */
 export interface ShardView {
   readonly shard: string;
   readonly endpoints: readonly EndpointView[];
@@ -35,16 +35,16 @@
   readonly floorGranted: number;
   readonly shed: number;
   readonly preempted: number;
-  /** Longest time a class with waiting work went without a grant, in milliseconds. */
+  /** Longest time that a class with queued tickets received no grant. */
   readonly longestUnservedMs: number;
 }
 
-/** Settings of an owner; the switches exist for the bench's baselines. */
+/** Options of a shard owner; floors and preemption are switched off only in benchmarks. */
 export interface ShardOwnerOptions {
   readonly shard: string;
   readonly random: Random;
   readonly invariants: Invariants;
-  /** No grants before this moment: time for entries to report what they hold. @default 0 */
+  /** No grants before this time, so that instances can report the slots they hold. @default 0 */
   readonly grantsFromMs?: number;
   /** @default true */
   readonly hasFloors?: boolean;
@@ -52,7 +52,6 @@
   readonly hasPreemption?: boolean;
 }
 
-/** The owner of one shard. */
 export interface ShardOwner {
   handle(message: OwnerMessage, nowMs: number): AddressedMessage[];
   list(): ShardView;
--- a/src/admission/owner-replies.ts
+++ b/src/admission/owner-replies.ts
@@ -1,8 +1,7 @@
-/** Builds a shard owner's messages to entries. */
+/** Builds a shard owner's messages to the instances that posted tickets. */
 import type { AddressedMessage } from '../types/peer-messages.js';
 import type { Refusal } from './ticket.js';
 
-/** Hands out a slot. */
 export function buildGrant(
   to: string,
   shard: string,
@@ -20,7 +19,6 @@
   return { to, body: { case: 'grantSlot', value } };
 }
 
-/** Turns a ticket away. */
 export function buildRefusal(
   to: string,
   shard: string,
@@ -33,7 +31,6 @@
   return { to, body: { case: 'refuseTicket', value } };
 }
 
-/** Asks a slot back. */
 export function buildPreemption(to: string, shard: string, ticketId: string): AddressedMessage {
   const value = { $typeName: 'hyssoptally.peer.v1.PreemptSlot' as const, ticketId, shard };
   return { to, body: { case: 'preemptSlot', value } };
--- a/src/admission/preemption.ts
+++ b/src/admission/preemption.ts
@@ -1,13 +1,13 @@
-/** Chooses which running answers give their slots back to waiting requests of higher tiers. */
+/** Selects running responses to preempt for waiting requests of higher tiers. */
 import type { ClassState, Grant, ShardState } from './shard-state.js';
 
-/** Part of its first-token target a ticket waits before it may preempt. */
+/** Share of its first-token target that a ticket waits before it may preempt. */
 const PREEMPTION_WAIT_SHARE = 0.12;
-/** A ticket that asked another shard first waits this many times longer: that owner goes first. */
+/** Lets the primary shard's owner preempt first. */
 const SECONDARY_SHARD_WAIT_FACTOR = 2.5;
-/** A slot that was asked back and not given back after this long may be asked again. */
+/** An unanswered preemption is requested again after this time. */
 const PREEMPTION_RETRY_MS = 1000;
-/** Long holds that must be left for a preempted answer to wait, resume and end in time. */
+/** Time that a preempted response needs to wait, resume and finish, in tail hold times. */
 const RESUMABLE_HOLDS_MIN = 1.5;
 
 function countPreemptionDue(classState: ClassState, nowMs: number): number {
@@ -24,13 +24,13 @@
   return grant.preemptedMs !== undefined && nowMs - grant.preemptedMs < PREEMPTION_RETRY_MS;
 }
 
-/** Whether an answer taken back now still has time to wait, resume and end. */
+/** Whether a response preempted now can still finish before its deadline. */
 function isResumable(shardState: ShardState, grant: Grant, nowMs: number): boolean {
   const holdMs = shardState.classes.get(grant.className)?.credit.getTailHoldMs() ?? 0;
   return grant.expiresMs - nowMs > holdMs * RESUMABLE_HOLDS_MIN;
 }
 
-/** Grants that tier may take back: lowest tier first, then the resumable, then the latest begun. */
+/** Grants that `tier` may preempt: lowest tier first, then resumable ones, then the newest. */
 function listVictims(shardState: ShardState, tier: number, nowMs: number): Grant[] {
   const preemptible = [...shardState.grants.values()].filter(
     (grant) =>
@@ -47,7 +47,7 @@
   );
 }
 
-/** The grants to ask back now: one for each waiting request that has lost patience, none twice. */
+/** Selects one grant for each ticket that has waited past its threshold, and marks it preempted. */
 export function chooseVictims(shardState: ShardState, nowMs: number): Grant[] {
   if (shardState.countWaiting() === 0) return [];
   const chosen: Grant[] = [];
@@ -59,7 +59,7 @@
     const victims = listVictims(shardState, classState.declaration.tier, nowMs).slice(0, wanted);
     for (const victim of victims) victim.preemptedMs = nowMs;
     chosen.push(...victims);
-    // Slots on their way serve this tier's tickets first; what is left serves the next one's.
+    // Slots being preempted serve this tier's tickets first; the surplus serves lower tiers.
     pendingSlots = Math.max(0, pendingSlots + victims.length - classState.queue.count());
   }
   return chosen;
--- a/src/admission/shard-map.ts
+++ b/src/admission/shard-map.ts
@@ -1,18 +1,17 @@
-/** Places endpoints in shards, and shards on owners. */
+/** Assigns endpoints to shards, and shards to owning instances. */
 import type { Declarations, EndpointDeclaration } from '../types/declarations.js';
 import { chooseRendezvous } from '../utils/hash.js';
 import type { ShardRoute } from './desk-messages.js';
 
-/** Endpoints in one shard at the most. */
 export const ENDPOINTS_PER_SHARD = 32;
 
-/** A live entry instance. */
+/** An instance that may own shards. */
 export interface LiveEntry {
   readonly name: string;
   readonly dataCentre: string;
 }
 
-/** One shard and who answers for it. */
+/** A group of endpoints of one pool, owned by one instance. */
 export interface Shard {
   readonly name: string;
   readonly pool: string;
@@ -21,8 +20,8 @@
 }
 
 /**
- * The owner of a shard: a live entry of a data centre that the shard has endpoints in, or any live
- * entry where those data centres have none.
+ * Prefers live instances in the data centres of the shard's endpoints; falls back to any live
+ * instance.
  */
 function chooseOwner(
   shard: string,
@@ -42,9 +41,9 @@
 }
 
 /**
- * Every shard of a configuration with its owner among the live entries. Shards follow from the
- * declarations alone, so their names stay while entries come and go; endpoints of one data centre
- * stand together.
+ * Builds all shards of a configuration and assigns their owners. Shard names and endpoints depend on
+ * the declarations only, so they are stable across membership changes. Endpoints are grouped by data
+ * centre.
  */
 export function buildShards(declarations: Declarations, live: readonly LiveEntry[]): Shard[] {
   const shards: Shard[] = [];
@@ -59,7 +58,7 @@
   return shards;
 }
 
-/** The shards of each pool, for a ticket desk. */
+/** Groups shards by pool, for the ticket client. */
 export function buildRoutes(shards: readonly Shard[]): ReadonlyMap<string, readonly ShardRoute[]> {
   const routes = new Map<string, ShardRoute[]>();
   for (const shard of shards) {
--- a/src/admission/shard-owner.test.ts
+++ b/src/admission/shard-owner.test.ts
@@ -131,7 +131,7 @@
       t.deepEqual(listGranted(shard.release('running', 3)), ['high']);
     });
 
-    itInner('take back a slot from a lower one for a request that waits too long', (t) => {
+    itInner('preempt a lower tier for a request that waits too long', (t) => {
       const shard = createOwner(1, 1);
       shard.post('low', 'history', 0);
       shard.post('high', 'counter', 10);
@@ -141,7 +141,7 @@
       t.deepEqual(listGranted(shard.release('low', 210, SlotEnding.CANCELLED)), ['high']);
     });
 
-    itInner('are shed from the lowest up when the queue is full', (t) => {
+    itInner('are shed lowest first when the queue is full', (t) => {
       const shard = createOwner(1, 1);
       shard.post('running', 'counter', 0);
       const refused: string[] = [];
@@ -155,9 +155,8 @@
     });
   });
 
-  it('keeps every class going through a burst of the highest', (t) => {
-    // A contract draft never ends during the auction. Auction questions keep coming faster than
-    // slots free, and strict order alone would serve nothing else.
+  it('serves the floor of a low tier during a burst of the highest', (t) => {
+    // Guards against starvation of lower tiers by strict tier order.
     const shard = createOwner(1, 4);
     const served = new Map<string, number>();
     for (let nowMs = 0; nowMs < 20_000; nowMs += 50) {
@@ -176,8 +175,7 @@
   });
 
   it('gives organisations equal tokens, not equal requests', (t) => {
-    // One depot's long histories crowd out the others': each takes a turn, but its turns are ten
-    // times longer.
+    // Guards against an organisation with long responses that takes most of the capacity.
     const shard = createOwner(1, 1);
     shard.post('running', 'reorder', 0);
     for (let index = 0; index < 14; index += 1) {
@@ -195,10 +193,9 @@
     t.true(long <= 3, order.join(' '));
   });
 
-  describeInner('a successor', ({ it: itInner }) => {
-    itInner('counts the slots that entries still hold', (t) => {
-      // Engines get twice what they can run. The owner died; its successor knows of no grant and
-      // hands all slots out again.
+  describeInner('a new owner', ({ it: itInner }) => {
+    itInner('counts slots that instances still hold', (t) => {
+      // Guards against granting slots twice after a change of owner.
       const shard = createOwner(1, 2);
       const held = ['old-1', 'old-2'].map((ticketId) => ({
         $typeName: 'hyssoptally.peer.v1.HeldSlot' as const,
@@ -215,7 +212,7 @@
       t.deepEqual(shard.post('new', 'counter', 2), []);
     });
 
-    itInner('takes back slots whose release was lost', (t) => {
+    itInner('frees slots whose release was lost', (t) => {
       const shard = createOwner(1, 1);
       shard.post('lost', 'counter', 0);
       shard.post('waiting', 'counter', 1);
@@ -224,7 +221,7 @@
       t.deepEqual(listGranted(shard.owner.handle(holdings, 4000)), ['waiting']);
     });
 
-    itInner('frees the slots of an entry that died', (t) => {
+    itInner('frees the slots of an instance that died', (t) => {
       const shard = createOwner(1, 1);
       shard.post('held', 'counter', 0);
       t.is(shard.owner.list().endpoints[0]?.held, 1);
@@ -234,7 +231,7 @@
   });
 
   describeInner('endpoints', ({ it: itInner }) => {
-    itInner('that leave get nothing more', (t) => {
+    itInner('that are leaving receive no grants', (t) => {
       const shard = createOwner(2, 1);
       shard.owner.handle({ kind: 'endpoint_leaving', endpoint: 'engine-0', isLeaving: true }, 0);
       shard.post('a', 'counter', 1);
@@ -242,9 +239,8 @@
       t.deepEqual([...shard.held.values()], ['engine-1']);
     });
 
-    itInner('that straggle keep one slot, and no more than half are set aside', (t) => {
-      // A tenth of all answers crawl. One engine runs at a tenth of its speed and gets as many
-      // requests as the others.
+    itInner('that are much slower than the others are marked as stragglers', (t) => {
+      // Guards against a slow endpoint that receives as many requests as the others.
       const shard = createOwner(4, 4);
       for (let round = 0; round < 8; round += 1) {
         for (let index = 0; index < 16; index += 1)
@@ -258,7 +254,7 @@
       t.is(statuses.filter((status) => status === 'straggler').length, 1);
     });
 
-    itInner('behind a cut get nothing until a look gets an answer', (t) => {
+    itInner('behind a network partition receive no grants until a probe succeeds', (t) => {
       const shard = createOwner(1, 1);
       const dataCentres = new Set(['one']);
       shard.owner.handle({ kind: 'cut_off', dataCentres }, 0);
@@ -269,8 +265,8 @@
   });
 
   it('admits again after a wrong estimate', (t) => {
-    // A class is refused for good. Its answers were slow for a while, the prediction says that no
-    // deadline can be met, and so no answer ever comes to correct it.
+    // Guards against a class that is refused forever, because without responses nothing corrects the
+    // estimate.
     const shard = createOwner(1, 1);
     for (let index = 0; index < 20; index += 1) {
       shard.post(`slow-${index}`, 'counter', index * 9000);
@@ -279,9 +275,8 @@
     t.deepEqual(listGranted(shard.post('next', 'counter', 200_000)), ['next']);
   });
 
-  it('refuses what a free slot cannot save without calling it shed for a lower tier', (t) => {
-    // An invariant is reported broken on a machine too busy to tick. Three clerks waited almost to
-    // their deadlines while contracts ran; a slot frees, and not even with it can they be in time.
+  it('reports no breach of tier order for a ticket that is too late for a free slot', (t) => {
+    // Guards against a false breach when ticks are late and tickets wait until near their deadlines.
     const shard = createOwner(1, 4);
     for (let index = 0; index < 16; index += 1) {
       shard.post(`learn-${index}`, 'counter', index * 4000);
@@ -291,14 +286,13 @@
     shard.post('high-1', 'counter', 70_001);
     shard.post('high-2', 'counter', 70_002);
     const late = shard.release('low-0', 79_000);
-    // The one with most time left is looked at first; the last one waiting is tried all the same.
+    // The ticket with the latest deadline is refused; the last one in the queue is always granted.
     t.deepEqual(listRefused(late), ['high-2']);
     t.deepEqual(listGranted(late), ['high-1']);
   });
 
-  it('counts slots that were asked back when several waiting tickets expire at once', (t) => {
-    // An invariant is reported broken on a busy machine. Three clerks' slots were asked back in time,
-    // but the entry that holds them is too busy to give them up before the clerks' deadlines.
+  it('counts requested preemptions when several tickets expire at once', (t) => {
+    // Guards against a false breach when an instance does not release preempted slots in time.
     const shard = createOwner(1, 5);
     for (let index = 0; index < 5; index += 1) shard.post(`low-${index}`, 'history', 0);
     for (let index = 0; index < 3; index += 1) shard.post(`high-${index}`, 'counter', 1);
@@ -306,7 +300,7 @@
     t.is(listRefused(shard.tick(10_100)).length, 3);
   });
 
-  it('never breaks its invariants, whatever entries do', (t) => {
+  it('keeps its invariants under any sequence of messages', (t) => {
     const stepArbitrary = fc.record({
       action: fc.constantFrom(
         ...(['post', 'post', 'post', 'release', 'cancel', 'fail', 'tick', 'gone'] as const),
--- a/src/admission/shard-owner.ts
+++ b/src/admission/shard-owner.ts
@@ -1,19 +1,18 @@
 /**
- * The soft owner of one shard: some endpoints of one pool. It queues small tickets and grants a slot
- * when one frees, so tier order and fair shares hold across entries.
+ * Admission for one shard, a group of endpoints of one pool: queues tickets and grants free slots, so
+ * that tiers and fair shares hold across instances.
  *
- * How the two promises fit. A grant is either *contest* (strictly by tier) or *floor* (paid from a
- * class's credit). Whenever a ticket of tier h is shed here,
- * (1) if the queue was full, no ticket of a lower tier waits beyond its class's floor of places;
- * (2) fewer contest slots of lower tiers are open to preemption than tickets of tier h or above want
- *     one, h included, or a slot was asked back for each of these already;
- * (3) or a slot was free and h could not have been in time even with it.
- * Floor slots and places are outside the contest and never count against h. All of this is asserted
- * at each shed.
+ * A grant is either a priority grant, strictly by tier, or a floor grant, paid from the class's credit.
+ * Names of invariants call priority grants *contest*. A ticket of tier h is shed only if
+ * (1) the queue was full, and no lower tier queued more tickets than its floor reserves;
+ * (2) fewer preemptible priority slots of lower tiers remain than tickets of tier h or above wait, or a
+ *     preemption was requested for each of these tickets;
+ * (3) or a slot was free, but the ticket would have missed its deadline with it.
+ * Floor grants and reserved queue places are exempt from tier order. Invariants check this at each shed.
  *
- * It owns nothing that lasts: when it dies its successor learns of waiting tickets and held slots
- * from the entries. Two owners at once grant too much for a moment; the engines queue the excess by
- * priority. That costs time, never safety.
+ * State is kept in memory only: a new owner rebuilds it from the tickets and held slots that instances
+ * report. Two concurrent owners may grant too many slots for a short time; the endpoints then queue the
+ * excess by priority.
  */
 import type { HeldSlot, PostTicket, ReleaseSlot } from '../gen/peer_pb.js';
 import { SlotEnding } from '../gen/peer_pb.js';
@@ -37,15 +36,13 @@
   predictWait,
 } from './wait-prediction.js';
 
-/** Tickets one shard queues for each of its slots. */
 const QUEUE_PLACES_PER_SLOT = 8;
 const QUEUE_PLACES_MIN = 32;
-/** A held slot that its entry no longer reports is taken back after this long, in milliseconds. */
+/** Frees a slot whose release message was lost. */
 const UNREPORTED_GRANT_TIMEOUT_MS = 2500;
-/** Slot endings that say the endpoint failed. */
 const ENDPOINT_FAILURE_ENDINGS: readonly SlotEnding[] = [SlotEnding.FAILED, SlotEnding.STALLED];
 
-/** Builds an owner with an empty queue. */
+/** Creates an owner without classes or endpoints; both arrive in a `configure` message. */
 export function createShardOwner(options: ShardOwnerOptions): ShardOwner {
   const { shard, random, invariants } = options;
   const { grantsFromMs = 0, hasFloors = true, hasPreemption = true } = options;
@@ -66,12 +63,12 @@
     return Math.max(QUEUE_PLACES_MIN, table.countSlots() * QUEUE_PLACES_PER_SLOT);
   }
 
-  /** Places in the queue that are the class's by its floor, outside the contest. */
+  /** Queue places that the class's floor reserves. */
   function countReservedPlaces(classState: ClassState): number {
     return hasFloors ? Math.ceil(classState.declaration.floor * computeQueueCapacity()) : 0;
   }
 
-  /** Tickets of lower tiers that wait in places of the contest. */
+  /** Tickets of lower tiers queued beyond the places that their floors reserve. */
   function countUnreservedWaitingBelow(tier: number): number {
     let waiting = 0;
     for (const classState of classes.values()) {
@@ -83,7 +80,7 @@
   }
 
   function checkShedOrder(tier: number, reason: Refusal, nowMs: number): void {
-    // Too late with a free slot at hand: lower tiers hold nothing that could have helped.
+    // A free slot means that no slot held by a lower tier could have helped.
     invariants.check(
       'slot_at_hand_when_too_late',
       reason !== REFUSAL.TooLate || table.countFreeSlots(nowMs) > 0,
@@ -118,9 +115,8 @@
   }
 
   /**
-   * The ticket a full queue gives up: of the lowest tier that has more than its floor's places, from
-   * who queues most. Without such places a long burst of a high tier would push every low ticket
-   * out before its floor's slot comes: the class would starve with its floor intact.
+   * The ticket that a full queue sheds: from the lowest tier that uses more than its reserved places.
+   * Guards against starvation when a burst of a high tier evicts low tickets before their floor grants.
    */
   function findTicketToShed(): Ticket | undefined {
     const lowestTier = shardState
@@ -134,7 +130,7 @@
     const slotsWanted = shardState.countWaitingAtOrAbove(ticket.tier) + 1;
     if (countPreemptibleBelow(ticket.tier) >= slotsWanted) return false;
     const ahead = countAhead(ticket, classState);
-    // Where nobody waits a try costs nobody anything, and shows whether the estimate still holds.
+    // Without a ticket ahead it is queued regardless, so that new samples correct the estimate.
     if (ahead === 0) return false;
     return isLikelyLate(
       ticket,
@@ -198,8 +194,7 @@
     );
     if (classState === undefined || ticket === undefined) return false;
     if (classState.queue.count() > 1 && isLikelyLate(ticket, classState, nowMs)) {
-      // Of all that wait it has most time left, and not even a usual answer would be in time: this
-      // caller hears at once instead of being cut off half way.
+      // Refuse now, instead of interrupting the response at its deadline.
       refuseWaiting(ticket, REFUSAL.TooLate, nowMs);
       return true;
     }
@@ -283,7 +278,7 @@
       outbox.push(buildRefusal(from, shard, ticketId, REFUSAL.UnknownClass, RETRY_AFTER_MIN_MS));
       return;
     }
-    // Posted again because an answer was lost, or because the owner seemed to have changed.
+    // Reposted: the reply was lost, or the client saw a change of owner.
     if (shardState.hasTicket(post.ticketId) || grants.has(post.ticketId)) return;
     const ticket = buildTicket(from, post, classState, nowMs);
     const isRefusedOnArrival = isDeadlineUnreachable(ticket, classState, nowMs);
@@ -304,7 +299,7 @@
     );
     const isUnused = release.ending === SlotEnding.UNUSED;
     const isComplete = release.ending === SlotEnding.COMPLETED && !grant.isResumed;
-    // A slot that was not used costs its floor nothing and teaches nothing.
+    // An unused slot is refunded and left out of the statistics.
     if (!isUnused) classState.credit.record(nowMs - grant.grantedMs, grant.isFloor, isComplete);
     else if (grant.isFloor) classState.credit.record(0, true, false);
   }
@@ -338,7 +333,7 @@
     );
   }
 
-  /** Counts a slot granted by an earlier owner of this shard, or it would be granted twice. */
+  /** Adopts a slot granted by a previous owner, so that it is not granted twice. */
   function addReportedGrant(
     from: string,
     slot: HeldSlot,
@@ -360,7 +355,7 @@
       chargedTokens: 0,
       grantedMs: nowMs,
       expiresMs: Infinity,
-      // When it began is not known here, so its length must teach nothing.
+      // Its start is unknown, so its hold time must not count as that of a complete response.
       isResumed: true,
       reportedMs: nowMs,
       preemptedMs: undefined,
@@ -379,7 +374,6 @@
     }
     for (const grant of grants.values()) {
       const isUnreported = grant.from === from && !reported.has(grant.ticketId);
-      // The release was lost on the way: without this the slot would stay taken for good.
       if (isUnreported && nowMs - grant.reportedMs > UNREPORTED_GRANT_TIMEOUT_MS)
         releaseUnused(grant, nowMs);
     }
@@ -408,7 +402,7 @@
   }
 
   function handleWithdraw(ticketId: string, nowMs: number): void {
-    // Granted elsewhere or given up: it left this queue, which is what predictions count.
+    // Tickets granted elsewhere or cancelled also count as departures.
     shardState.findClassOf(ticketId)?.departures.record(nowMs);
     shardState.removeTicket(ticketId);
   }
--- a/src/admission/shard-state.ts
+++ b/src/admission/shard-state.ts
@@ -1,4 +1,4 @@
-/** What a shard owner keeps: classes with their queues and credit, and the slots it has granted. */
+/** State of a shard: classes with their queues and floor credit, and granted slots. */
 import type { ClassDeclaration } from '../types/declarations.js';
 import { createClassQueue } from './class-queue.js';
 import type { ClassQueue } from './class-queue.js';
@@ -8,7 +8,7 @@
 import type { FloorCredit } from './floor-credit.js';
 import type { Ticket } from './ticket.js';
 
-/** A slot in an entry's hands. */
+/** A slot held by an instance. */
 export interface Grant {
   readonly ticketId: string;
   readonly from: string;
@@ -23,45 +23,43 @@
   readonly grantedMs: number;
   readonly expiresMs: number;
   readonly isResumed: boolean;
-  /** When the entry last said that it holds the slot. */
+  /** When the holder last reported the slot. */
   reportedMs: number;
-  /** When the slot was asked back; undefined if never. */
+  /** When preemption was last requested. */
   preemptedMs: number | undefined;
 }
 
-/** One class in the shard. */
+/** State of one class in the shard. */
 export interface ClassState {
   declaration: ClassDeclaration;
   readonly queue: ClassQueue;
   readonly credit: FloorCredit;
   readonly departures: DepartureRate;
-  /** Contest slots the class holds. */
+  /** Slots held by priority, without floor slots. */
   priorityHeld: number;
-  /** Since when the class has had waiting work without a grant. */
+  /** Since when the class has had queued tickets without receiving a grant. */
   unservedSinceMs: number | undefined;
 }
 
-/** The state of one shard. */
 export interface ShardState {
   readonly classes: ReadonlyMap<string, ClassState>;
   readonly grants: Map<string, Grant>;
-  /** Takes over classes; returns the tickets of classes that are gone. */
+  /** Updates the classes; removes and returns the tickets of deleted classes. */
   setClasses(declarations: ReadonlyMap<string, ClassDeclaration>): Ticket[];
   listByTier(): ClassState[];
   addTicket(ticket: Ticket, classState: ClassState, nowMs: number): void;
   removeTicket(ticketId: string): Ticket | undefined;
   hasTicket(ticketId: string): boolean;
-  /** The class of a waiting ticket. */
   findClassOf(ticketId: string): ClassState | undefined;
   countWaiting(): number;
   countWaitingAtOrAbove(tier: number): number;
-  /** Contest slots of lower tiers, open to preemption and not asked back yet. */
+  /** Preemptible priority slots of lower tiers for which no preemption was requested yet. */
   countPreemptibleBelow(tier: number): number;
-  /** Slots that were asked back and have not come back yet. */
+  /** Held slots for which preemption was requested. */
   countPreempted(): number;
 }
 
-/** Builds the state of a shard without classes. */
+/** Creates an empty shard without classes. */
 export function createShardState(): ShardState {
   const classes = new Map<string, ClassState>();
   const grants = new Map<string, Grant>();
--- a/src/admission/ticket-desk.ts
+++ b/src/admission/ticket-desk.ts
@@ -1,7 +1,7 @@
 /**
- * The entry's side of sharing endpoints: posts a ticket to the owners of two sampled shards of the
- * pool, a moment later to more, takes the first grant and hands back any other. Nothing is refused
- * until every owner that was asked has refused.
+ * The client side of admission: posts a ticket to the owners of two sampled shards of the pool, spills
+ * over to further shards after a delay, takes the first grant and releases any later one. A request is
+ * refused only once all owners asked have refused it, or its deadline has passed.
  */
 import type { HeldSlot, PostTicket } from '../gen/peer_pb.js';
 import { SlotEnding } from '../gen/peer_pb.js';
@@ -19,13 +19,10 @@
 import { REFUSAL } from './ticket.js';
 import type { Refusal } from './ticket.js';
 
-/** Shards asked first; with few shards that is all of them. */
 const INITIAL_SHARDS = 2;
-/** The first shards get this long before others are asked, in milliseconds. */
 const SPILLOVER_DELAY_MS = 25;
-/** Further shards asked before a ticket is given up. */
 const SPILLOVER_SHARDS = 2;
-/** A ticket nobody has answered is posted again after this long: messages between peers may be lost. */
+/** Unanswered tickets are posted again, since messages between peers may be lost. */
 const REPOST_INTERVAL_MS = 500;
 
 interface ShardPost {
@@ -37,7 +34,7 @@
 
 interface PendingTicket {
   readonly request: SlotRequest;
-  /** Shards asked, with the owner asked and whether it has refused. */
+  /** Keyed by shard. */
   readonly posts: Map<string, ShardPost>;
   hasSpilledOver: boolean;
   retryAfterMs: number;
@@ -51,14 +48,14 @@
   stepMs: number;
 }
 
-/** The desk of one entry. */
+/** The ticket client of one instance. */
 export interface TicketDesk {
   handle(message: DeskMessage, nowMs: number): DeskCommand[];
   countPending(): number;
   countHeld(): number;
 }
 
-/** Builds a desk that knows no shard yet. */
+/** Creates a client without routes; they arrive in a `routes` message. */
 export function createTicketDesk(random: Random): TicketDesk {
   const pending = new Map<string, PendingTicket>();
   const held = new Map<string, GrantedSlot>();
@@ -109,7 +106,7 @@
     });
   }
 
-  /** Asks up to `count` more shards of the pool, from a random start so that load spreads. */
+  /** Posts to up to `count` further shards of the pool, from a random start to spread load. */
   function postToMoreShards(ticket: PendingTicket, count: number, nowMs: number): void {
     const poolRoutes = routes.get(ticket.request.pool) ?? [];
     const candidates = poolRoutes.filter((route) => !ticket.posts.has(route.shard));
@@ -186,7 +183,7 @@
     const ticket = pending.get(grant.ticketId);
     if (ticket === undefined) {
       const isHeld = held.get(grant.ticketId)?.grant.shard === grant.shard;
-      // A second grant for a ticket that another shard served first, or that was given up.
+      // The ticket was granted by another shard first, cancelled or refused.
       if (!isHeld) {
         postRelease(grant, {
           tokens: 0,
@@ -244,7 +241,7 @@
     }
   }
 
-  /** An owner died or moved: its successor learns what is held and what waits from here. */
+  /** Reports held slots and reposts pending tickets to the new owners of reassigned shards. */
   function handleRoutes(next: ReadonlyMap<string, readonly ShardRoute[]>, nowMs: number): void {
     const previousOwners = owners;
     routes = next;
--- a/src/admission/ticket.ts
+++ b/src/admission/ticket.ts
@@ -1,7 +1,7 @@
-/** A request's place in a shard owner's queue. */
+/** A request queued at a shard's owner. */
 export interface Ticket {
   readonly ticketId: string;
-  /** The entry instance that holds the request. */
+  /** The instance that posted the ticket. */
   readonly from: string;
   readonly className: string;
   readonly tier: number;
@@ -11,23 +11,23 @@
   readonly postedMs: number;
   /** How long the request had waited before it was posted here. */
   readonly waitedMs: number;
-  /** After this moment the answer is worth nothing. */
+  /** Deadline of the response. */
   readonly expiresMs: number;
   readonly prefixHash: number;
   readonly preemptible: boolean;
   readonly excludedEndpoints: readonly string[];
-  /** Goes on with an answer that was broken off: placed before the class's other tickets. */
+  /** Continues an interrupted response; served before the other tickets of its class. */
   readonly isResumed: boolean;
-  /** This shard was asked first: its owner may preempt for the ticket at once. */
+  /** Posted to this shard first; other shards wait longer before they preempt for the ticket. */
   readonly isPrimaryShard: boolean;
 }
 
-/** Why a ticket was turned away. */
+/** Reasons for refusing a ticket. */
 export const REFUSAL = {
   QueueFull: 'queue_full',
   Shed: 'shed',
   DeadlineUnreachable: 'deadline_unreachable',
-  /** A slot was free, and even with it the answer would have ended too late. */
+  /** A slot was free, but the response would probably have missed its deadline. */
   TooLate: 'too_late',
   Expired: 'expired',
   UnknownClass: 'unknown_class',
--- a/src/admission/wait-prediction.ts
+++ b/src/admission/wait-prediction.ts
@@ -1,19 +1,16 @@
-/**
- * What a ticket has to expect. Nothing here is configured: waits come from the rate at which a class's
- * tickets leave, holds from the answers that ended.
- */
+/** Predicts queueing delays from a class's departure rate, and deadline misses from its hold times. */
 import type { Random } from '../utils/random.js';
 import type { ClassState } from './shard-state.js';
 import type { Ticket } from './ticket.js';
 
-/** Part of a long hold that an answer broken off in the middle still needs. */
+/** Expected remaining hold of a resumed response, as a share of a complete one. */
 const RESUMED_HOLD_SHARE = 0.5;
 export const RETRY_AFTER_MIN_MS = 250;
 const RETRY_AFTER_MAX_MS = 30_000;
-/** Answers to many callers at once are spread by up to this part, or all would come back together. */
+/** Keeps callers that are refused together from retrying together. */
 const RETRY_AFTER_JITTER = 0.25;
 
-/** Expected wait of a ticket behind `ahead` others of its class, in milliseconds. */
+/** Expected queueing delay behind `ticketsAhead` tickets of the class, in milliseconds. */
 export function predictWait(
   classState: ClassState,
   ticketsAhead: number,
@@ -23,13 +20,13 @@
   if (ticketsAhead === 0) return 0;
   const rate = classState.departures.compute(nowMs);
   if (rate === undefined) return 0;
-  // Never below what the floor alone would give: a bad second must not shut a class out.
+  // The floor bounds the rate from below, so that a short stall does not block a class.
   const floorRate =
     (classState.declaration.floor * Math.max(1, slots)) / classState.credit.getMeanHoldMs();
   return ticketsAhead / Math.max(rate, floorRate, Number.EPSILON);
 }
 
-/** When a refused caller should come back, in milliseconds: once what waits now has left. */
+/** Time for the current queue to drain, within bounds and with jitter. */
 export function computeRetryAfter(
   classState: ClassState,
   slots: number,
@@ -43,21 +40,21 @@
   return Math.round(Math.min(RETRY_AFTER_MAX_MS, jittered));
 }
 
-/** Whether nearly every answer of the class that starts at a moment is whole before this deadline. */
+/** Whether a response that starts at `startsMs` meets the deadline even with a tail hold time. */
 export function isDeadlineSafe(ticket: Ticket, classState: ClassState, startsMs: number): boolean {
   const holdMs = classState.credit.getTailHoldMs() * (ticket.isResumed ? RESUMED_HOLD_SHARE : 1);
   return startsMs + holdMs <= ticket.expiresMs;
 }
 
-/** Whether even a usual answer of the class that starts at a moment would end too late. */
+/** Whether a response that starts at `startsMs` misses the deadline with a mean hold time. */
 export function isLikelyLate(ticket: Ticket, classState: ClassState, startsMs: number): boolean {
   const holdMs = classState.credit.getMeanHoldMs() * (ticket.isResumed ? RESUMED_HOLD_SHARE : 1);
   return startsMs + holdMs > ticket.expiresMs;
 }
 
 /**
- * Tickets of its class that go before an organisation's next one by fair turns: for each of its own
- * that waits, one of every other organisation; not the whole queue of whoever floods it.
+ * Tickets of the class that fair queueing serves first: one of each organisation for every ticket of
+ * the same organisation, and not the whole backlog of the busiest one.
  */
 export function countAhead(ticket: Ticket, classState: ClassState): number {
   if (ticket.isResumed) return 0;
--- a/src/attempts/pool-budgets.ts
+++ b/src/attempts/pool-budgets.ts
@@ -1,13 +1,13 @@
-/** Budgets of second tries, one for each pool. */
+/** Retry budgets, one for each pool. */
 import { createSharedRetryBudget } from './shared-retry-budget.js';
 import type { RetryBounds, SharedRetryBudget } from './shared-retry-budget.js';
 
-/** The budgets of one instance. */
+/** Retry budgets of one instance. */
 export interface PoolBudgets {
   get(pool: string): SharedRetryBudget;
 }
 
-/** Builds budgets of which nothing is spent. `createdMs`: when the instance started, on the monotonic clock. */
+/** Creates budgets on first use. `createdMs` is the start of the instance on the monotonic clock. */
 export function createPoolBudgets(bounds: RetryBounds, createdMs: number): PoolBudgets {
   const budgets = new Map<string, SharedRetryBudget>();
   return {
--- a/src/attempts/retry-budget.ts
+++ b/src/attempts/retry-budget.ts
@@ -1,20 +1,20 @@
 /**
- * A budget of second tries: a share of what went well, not a count per request, so that a failing
- * pool is not hit harder because it fails. A small reserve lets a single crash be repaired.
+ * Token bucket of retries that successes refill. Guards against retries that multiply the load on a
+ * failing pool.
  */
 const RETRIES_PER_SUCCESS = 0.2;
 const RETRY_CAPACITY = 24;
 
-/** The budget of one pool and class. */
+/** Retry budget of one pool and class. */
 export interface RetryBudget {
-  /** A request ended well. */
+  /** Adds to the budget after a successful request. */
   record(): void;
-  /** Spends one second try; false if there is none left. */
+  /** Spends one retry; false if none is left. */
   take(): boolean;
   get(): number;
 }
 
-/** Builds a budget with its reserve full. */
+/** Creates a full budget. */
 export function createRetryBudget(): RetryBudget {
   let remaining = RETRY_CAPACITY;
   return {
--- a/src/attempts/shared-retry-budget.test.ts
+++ b/src/attempts/shared-retry-budget.test.ts
@@ -3,13 +3,12 @@
 import { createSharedRetryBudget } from './shared-retry-budget.js';
 
 const BOUNDS = { windowMs: 10_000, ratio: 0.2, slack: 54 };
-/** An instance that starts has found the others by then, in milliseconds. */
+/** Time in which a new instance discovers the others. */
 const DISCOVERY_MS = 1000;
 
 describe('shared retry budget', ({ it }) => {
-  // A pool fails while every instance repeats its calls: without a common bound the repeats would
-  // keep it down.
-  it('keeps the tries of all instances within the bounds in any window', (t) => {
+  // Guards against retries of all instances that keep a failing pool overloaded.
+  it('keeps the retries of all instances within the bounds in any window', (t) => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 9 }),
@@ -41,8 +40,8 @@
     t.pass();
   });
 
-  // A cut hides half of the instances: the part of each must not double.
-  it('does not grow when fewer instances are seen', (t) => {
+  // Guards against larger shares while a network partition hides instances.
+  it('does not grow when fewer instances are known', (t) => {
     const budget = createSharedRetryBudget({ ...BOUNDS, ratio: 0 }, -BOUNDS.windowMs);
     let taken = 0;
     for (let count = 0; count < 50; count += 1) if (budget.take(10, 0)) taken += 1;
@@ -50,10 +49,8 @@
     t.is(taken, 4);
   });
 
-  // All instances are killed together while a pool fails, and are back within a second. Each begins with
-  // nothing spent and knows of nobody else, so that each takes the whole constant part for its own:
-  // second tries pile up beyond what all may send, at the moment when the pool is weakest.
-  it('keeps the tries within the bounds when instances are killed and start anew', (t) => {
+  // Guards against restarted instances that each spend the whole slack before they discover the others.
+  it('keeps the retries within the bounds when instances restart', (t) => {
     const step = fc.record({
       instance: fc.nat(8),
       afterMs: fc.nat(400),
--- a/src/attempts/shared-retry-budget.ts
+++ b/src/attempts/shared-retry-budget.ts
@@ -1,27 +1,25 @@
 /**
- * This instance's part of the second tries that all instances together may send to a pool in any
- * window. The part that follows demand needs no talk between instances: each spends a share of the
- * calls it took itself. The constant part is divided by the most instances ever seen, so that a cut
- * that hides some of them never makes the parts add up to more than the whole.
+ * This instance's share of the retries that all instances together may send to a pool in a sliding
+ * window. A ratio of its own calls needs no coordination. The constant slack is divided by the most
+ * instances ever known, so that a network partition does not raise the total above the bound.
  */
 
-/** Bounds of all instances together. */
+/** Bounds for all instances together. */
 export interface RetryBounds {
   readonly windowMs: number;
-  /** Second tries for each call, 0 to 1. */
+  /** Retries per call, 0 to 1. */
   readonly ratio: number;
-  /** Second tries that are always allowed in a window. */
+  /** Retries allowed in a window regardless of calls. */
   readonly slack: number;
 }
 
-/** Part of the bounds that is spent: arrivals bunch up on their way, and instances are added. */
+/** Leaves a margin for bunched arrivals and instances that join. */
 const USABLE_SHARE = 0.8;
 
-/** The budget of one pool at one instance. */
+/** Retry budget of one pool at one instance. */
 export interface SharedRetryBudget {
-  /** A call for the pool came in. */
   recordCall(nowMs: number): void;
-  /** Spends one second try; false where none is left. */
+  /** Spends one retry; false if none is left. */
   take(instances: number, nowMs: number): boolean;
 }
 
@@ -31,16 +29,15 @@
   if (count > 0) times.splice(0, count);
 }
 
-/** Builds the budget of an instance that started at this monotonic moment. */
+/** `startedMs` is the start of the instance on the monotonic clock. */
 export function createSharedRetryBudget(bounds: RetryBounds, startedMs: number): SharedRetryBudget {
   const calls: number[] = [];
   const retries: number[] = [];
   let instancesMax = 1;
 
   /**
-   * Guards against spending the constant part twice: an instance that has just started knows neither how
-   * many others share it nor what it spent before it was killed. When all are restarted together while a
-   * pool fails, second tries would pile up to as many times the bound as there are instances.
+   * Guards against retries beyond the bound after instances restart together: in its first window an
+   * instance knows neither how many others share the slack nor what it spent before the restart.
    */
   function computeSlackShare(nowMs: number): number {
     return nowMs - startedMs < bounds.windowMs ? 0 : bounds.slack / instancesMax;
--- a/src/limits/organisation-limits.ts
+++ b/src/limits/organisation-limits.ts
@@ -1,7 +1,7 @@
 /**
- * Limits of organisations over the whole fleet, held by each entry for its share. The share follows
- * the demand that entries report to each other; where peers cannot be heard it is an even split, so
- * that a cut never gives an organisation more than its limit within one side's sight.
+ * Fleet-wide limits of organisations, enforced by each instance for its share. Shares follow the demand
+ * that instances report to each other; without any demand they are even. Each side of a network
+ * partition enforces the limit on its own.
  */
 import type { DemandShare } from '../gen/peer_pb.js';
 import { createBoundedMap } from '../utils/bounded-map.js';
@@ -10,24 +10,24 @@
 const ORGANISATIONS_MAX = 8192;
 const DEMAND_WINDOW_MS = 1000;
 const DEMAND_ALPHA = 0.5;
-/** Demand is reported once it is at least this part of the declared rate. */
+/** Demand is reported from this share of the declared rate. */
 const REPORTED_RATE_SHARE = 0.1;
-/** Organisations reported at the most: a node's bytes must not grow with its organisations. */
+/** Bounds the size of a report. */
 const REPORTED_MAX = 16;
-/** A report is renewed when demand differs from it by more than this part. */
+/** Relative change of demand that triggers a new report. */
 const REPORT_CHANGE_SHARE = 0.25;
-/** Seconds of rate an organisation may save up. */
+/** Bucket capacity, in seconds of the rate. */
 const BURST_SECONDS = 2;
 
-/** What peers report: their number, and the demand they see. */
+/** Demand reported by other instances. */
 export interface PeerDemand {
-  /** Serving entries, this one included. */
+  /** Serving instances, including this one. */
   readonly entries: number;
-  /** Demand of one organisation at other entries, requests a second. */
+  /** Demand of an organisation at other instances, in requests per second. */
   getDemand(organisation: string): number;
 }
 
-/** Why a request is over a limit. */
+/** Result of a limit check. */
 export type LimitVerdict =
   | { readonly kind: 'admitted' }
   | {
@@ -46,16 +46,15 @@
   reportedDemand: number;
 }
 
-/** Limits as one entry holds them. */
+/** Enforces the limits of organisations at one instance. */
 export interface OrganisationLimiter {
-  /** Admits or refuses; an admitted request is given back with `release`. */
+  /** Admits or refuses a request; `release` must follow once an admitted one ends. */
   take(organisation: OrganisationDeclaration, peers: PeerDemand, nowMs: number): LimitVerdict;
   release(organisation: string): void;
-  /** Demand to report, or undefined while the last report still holds. */
+  /** Demand to report to peers, or undefined while the last report is current. */
   takeReport(nowMs: number): DemandShare[] | undefined;
 }
 
-/** Builds a limiter that has seen nothing. */
 export function createOrganisationLimiter(): OrganisationLimiter {
   const usages = createBoundedMap<string, Usage>(ORGANISATIONS_MAX);
   const reportable = new Set<string>();
@@ -86,12 +85,12 @@
     usage.windowMs = nowMs;
   }
 
-  /** This entry's part of a fleet-wide limit, 0 to 1. */
+  /** This instance's share of a fleet-wide limit, 0 to 1. */
   function computeShare(usage: Usage, peerDemand: number, instances: number): number {
     const evenShare = 1 / Math.max(1, instances);
     const total = usage.demand + peerDemand;
     if (total <= 0) return evenShare;
-    // Half an even share stays free, so that an entry whose demand just began is not shut out.
+    // At least half an even share, so that an instance without recent demand can admit requests.
     return Math.max(evenShare / 2, Math.min(1, usage.demand / total));
   }
 
--- a/src/routes/route-standing.test.ts
+++ b/src/routes/route-standing.test.ts
@@ -9,7 +9,7 @@
 const PLAIN = buildPlayedRoute('plain', { priority: 0, gapTargetMs: undefined });
 const POOL = LOOKUP.pools[0]?.pool ?? '';
 
-describe('standing of routes', ({ it }) => {
+describe('rank of routes', ({ it }) => {
   it('counts distinct priorities of streams, whatever numbers are declared', (t) => {
     const standings = createRouteStandings([HISTORY, PLAIN, OTHER, LOOKUP, DRAFT]);
     t.deepEqual(standings.get(LOOKUP, POOL), {
@@ -32,7 +32,7 @@
     });
   });
 
-  it('is the first at a pool with no other streams', (t) => {
+  it('is 0 at a pool without streams', (t) => {
     const standings = createRouteStandings([LOOKUP, HISTORY]);
     t.like(standings.get(HISTORY, 'elsewhere'), { rank: 0, urgentPauseMs: Infinity });
   });
--- a/src/routes/route-standing.ts
+++ b/src/routes/route-standing.ts
@@ -1,24 +1,24 @@
-/** Where each route stands among the routes whose streams come from the same pool. */
+/** Ranks routes by priority among the routes that stream from the same pool. */
 import type { Route } from '../types/traffic.js';
 
-/** The place of one route at one pool. */
+/** Rank of one route at one pool. */
 export interface RouteStanding {
-  /** Distinct priorities that are more urgent; 0 for the most urgent. */
+  /** Number of distinct priorities that are more urgent; 0 for the most urgent. */
   readonly rank: number;
-  /** Distinct priorities there are. */
+  /** Number of distinct priorities. */
   readonly ranks: number;
-  /** The shortest pause that a more urgent route declares, in milliseconds; infinite where none does. */
+  /** Shortest gap target of the more urgent routes, in milliseconds; infinite if there are none. */
   readonly urgentPauseMs: number;
-  /** The same without the most urgent routes: what counts at engines that these keep away from. */
+  /** The same without the most urgent priority, for endpoints that do not serve it. */
   readonly nextPauseMs: number;
 }
 
-/** Places of all routes of one configuration. */
+/** Ranks of all routes of one configuration. */
 export interface RouteStandings {
   get(route: Route, pool: string): RouteStanding;
 }
 
-/** The most urgent: nothing is known that goes before. */
+/** Applies while no configuration is loaded. */
 export const FIRST_STANDING: RouteStanding = {
   rank: 0,
   ranks: 1,
@@ -45,11 +45,11 @@
   };
 }
 
-/** Computes places as they are asked for: calls that wait ask forty times a second, configurations have hundreds of routes. */
+/** Computes ranks on first use and caches them, since waiting calls read them repeatedly. */
 export function createRouteStandings(routes: readonly Route[]): RouteStandings {
   const streamsOfPool = new Map<string, Route[]>();
   for (const route of routes) {
-    // Routes without declared pauses have no streams that others could slow down.
+    // Routes without a gap target have no streams that other routes could slow down.
     const pools = route.gapTargetMs === undefined ? [] : route.pools;
     for (const { pool } of pools) {
       const streams = streamsOfPool.get(pool) ?? [];
--- a/src/routes/route-table.test.ts
+++ b/src/routes/route-table.test.ts
@@ -42,7 +42,7 @@
     t.is(table.findOrganisation('__proto__'), undefined);
   });
 
-  it('splits calls by weight, the same call always alike', (t) => {
+  it('splits calls by weight, and maps a call id to the same pool each time', (t) => {
     const route = buildRoute('/a/', [
       { pool: 'old', weight: 90 },
       { pool: 'new', weight: 10 },
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a call, the organisation of a key and the pool among a route's weights. */
+/** Looks up routes by host and path, organisations by key, and pools by weight. */
 import type {
   CallingOrganisation,
   Route,
@@ -10,22 +10,20 @@
 import type { RouteStanding } from './route-standing.js';
 import { createUrgencyRanks } from './urgency.js';
 
-/** One version of the configuration, indexed. */
+/** Index of one version of the configuration. */
 export interface RouteTable {
   readonly version: number;
-  /** Whether callers have to name their organisation at all. */
+  /** Whether callers must identify their organisation. */
   readonly hasOrganisations: boolean;
-  /** The route with the longest prefix that begins the path. */
+  /** The route with the longest matching path prefix. */
   findRoute(host: string, path: string): Route | undefined;
   findOrganisation(key: string): CallingOrganisation | undefined;
   findPool(name: string): TrafficPool | undefined;
-  /** Where a route stands among those whose streams come from the same pool. */
   getStanding(route: Route, pool: string): RouteStanding;
-  /** 0, the most urgent, to 9. */
+  /** From 0, the most urgent, to 9. */
   computeUrgency(route: Route, organisation: CallingOrganisation | undefined): number;
 }
 
-/** Indexes a configuration. */
 export function createRouteTable(configuration: TrafficConfiguration): RouteTable {
   const routesOfHost = new Map<string, Route[]>();
   for (const route of configuration.routes) {
@@ -55,7 +53,7 @@
   };
 }
 
-/** Picks a pool by weight; the same call id always falls on the same pool. */
+/** Chooses a pool by weight; the same call id always maps to the same pool. */
 export function choosePool(route: Route, callId: string): string | undefined {
   const total = route.pools.reduce((sum, { weight }) => sum + weight, 0);
   let offset = (hashName(`${route.name}|${callId}`) / 2 ** 32) * total;
--- a/src/routes/urgency.test.ts
+++ b/src/routes/urgency.test.ts
@@ -37,10 +37,8 @@
 }
 
 describe('urgency', ({ it }) => {
-  // A paralegal's suggestion stalls while a long draft goes on. Both are of organisations with the same
-  // priority; were it sent instead of the routes', the engine out of memory would put back the
-  // suggestion, which came last.
-  it('keeps the order of routes within organisations of one priority', (t) => {
+  // Guards against endpoints that preempt interactive calls because organisations have equal priorities.
+  it('keeps the order of routes for organisations of equal priority', (t) => {
     const ranks = createUrgencyRanks(buildConfiguration([0, 1, 2], [1, 1, 1]));
     const computed = [0, 1, 2].map((priority) =>
       ranks.compute(buildRoute(priority), buildOrganisation(1)),
@@ -48,16 +46,15 @@
     t.deepEqual(computed, [0, 1, 2]);
   });
 
-  // A large organisation of the first priority sends drafts while engines have no free slot. Ranked
-  // before other organisations' tags, each draft that is admitted puts a tag back in mid-stream.
-  it('puts no route behind a less urgent one of a more urgent organisation', (t) => {
+  // Guards against drafts of a high-priority organisation that preempt interactive calls of others.
+  it('ranks by the priority of the route before that of the organisation', (t) => {
     const ranks = createUrgencyRanks(buildConfiguration([0, 1, 2], [0, 1, 1]));
     const draft = ranks.compute(buildRoute(2), buildOrganisation(0));
     t.true(draft > ranks.compute(buildRoute(1), buildOrganisation(1)));
     t.true(draft < ranks.compute(buildRoute(2), buildOrganisation(1)));
   });
 
-  it('ranks calls without an organisation’s priority like most', (t) => {
+  it('ranks calls without an organisation priority by the most frequent one', (t) => {
     const ranks = createUrgencyRanks(buildConfiguration([0, 2], [0, 3, 3, undefined]));
     const most = ranks.compute(buildRoute(2), buildOrganisation(3));
     t.is(ranks.compute(buildRoute(2), undefined), most);
@@ -66,7 +63,7 @@
     t.is(plain.compute(buildRoute(2), undefined), 1);
   });
 
-  it('stays within what engines tell apart, in order', (t) => {
+  it('maps more priorities than levels onto the range of levels, in order', (t) => {
     const priorities = [0, 1, 2, 3, 4, 5];
     const ranks = createUrgencyRanks(buildConfiguration(priorities, priorities));
     const computed = priorities.flatMap((route) =>
--- a/src/routes/urgency.ts
+++ b/src/routes/urgency.ts
@@ -1,20 +1,15 @@
 /**
- * Ranks calls by urgency: by the route's priority, and within one by the organisation's.
- *
- * Guards against an organisation's priority that wipes out or turns round the difference between
- * routes. It shows as engines that preempt interactive calls while drafts run on there: because all
- * look equal where most organisations have the same priority, or for the drafts of an organisation with
- * a higher one. With the organisation first, two of three days with a large organisation of the first
- * priority and engines of 16 slots had 10 and 25 such calls; with the route first none had.
+ * Ranks calls by the priority of the route, then by that of the organisation. Guards against organisation
+ * priorities that override the order of routes and let endpoints preempt interactive calls for drafts.
  */
 import type { CallingOrganisation, Route, TrafficConfiguration } from '../types/traffic.js';
 
-/** Ranks that an engine tells apart. */
+/** Priority levels that endpoints distinguish. */
 const URGENCY_LEVELS = 10;
 
-/** Ranks of one configuration. */
+/** Urgency of calls under one configuration. */
 export interface UrgencyRanks {
-  /** 0, the most urgent, to 9. */
+  /** From 0, the most urgent, to 9. */
   compute(route: Route, organisation: CallingOrganisation | undefined): number;
 }
 
@@ -22,7 +17,7 @@
   return [...new Set(priorities)].sort((a, b) => a - b);
 }
 
-/** The priority that most organisations have; of several the most urgent. */
+/** The most frequent priority; of equally frequent ones the most urgent. */
 function findCommonPriority(priorities: readonly number[]): number | undefined {
   const counts = listDistinct(priorities).map((priority) => ({
     priority,
@@ -31,7 +26,7 @@
   return counts.sort((a, b) => b.count - a.count || a.priority - b.priority)[0]?.priority;
 }
 
-/** Indexes a configuration's priorities. Pairs beyond the ranks share one with their neighbours. */
+/** With more pairs of priorities than levels, neighbouring pairs share a level. */
 export function createUrgencyRanks(configuration: TrafficConfiguration): UrgencyRanks {
   const declaredPriorities = configuration.organisations
     .map(({ priority }) => priority)
@@ -39,7 +34,7 @@
   const organisationPriorities = listDistinct(declaredPriorities);
   const routePriorities = listDistinct(configuration.routes.map(({ priority }) => priority));
   const pairs = Math.max(1, organisationPriorities.length) * Math.max(1, routePriorities.length);
-  // A call without an organisation, or whose organisation states nothing, ranks like most others.
+  // Applies to calls without an organisation, or whose organisation has no priority.
   const commonPriority = findCommonPriority(declaredPriorities);
   return {
     compute(route, organisation) {
--- a/src/routing/endpoint-table.ts
+++ b/src/routing/endpoint-table.ts
@@ -1,7 +1,7 @@
 /**
- * What a shard owner knows of its endpoints, from what entries saw themselves: slots in use, time a
- * step takes, failures. Chooses an endpoint for a ticket. Load reports are not used for choosing:
- * they lag, and a slot that was granted is known at once.
+ * Endpoints of a shard: slots in use, step times (time per token) and failures as instances observe
+ * them. Selects endpoints for tickets. Load reports are not used for selection, since they lag behind
+ * grants.
  */
 import type { EndpointDeclaration } from '../types/declarations.js';
 import { createMovingAverage } from '../utils/moving-average.js';
@@ -9,26 +9,24 @@
 import type { Random } from '../utils/random.js';
 
 const STEP_ALPHA = 0.2;
-/** Samples before a step time is trusted for ejection. */
 const STEP_SAMPLES_MIN = 4;
-/** A step this many times the median marks a straggler. */
+/** Step time of a straggler, relative to the median. */
 const STRAGGLER_FACTOR = 3;
-/** A straggler returns once its step is below this many times the median. */
+/** Lower than `STRAGGLER_FACTOR`, so that endpoints do not oscillate. */
 const STRAGGLER_RECOVERY_FACTOR = 1.8;
-/** Failures in a row that eject an endpoint. */
+/** Consecutive failures. */
 const FAILURES_TO_EJECT = 2;
 const EJECTION_BASE_MS = 1000;
 const EJECTION_MAX_MS = 30_000;
-/** Time in which a newcomer's slots grow to the declared number, in milliseconds. */
+/** Time in which the slots of a new endpoint grow to the declared number. */
 const SLOW_START_MS = 2000;
-/** A cached prefix wins unless its endpoint scores this many times worse. */
+/** An endpoint with a cached prefix is preferred up to this multiple of the best score. */
 const PREFIX_SCORE_TOLERANCE = 1.5;
-/** Looks without an answer after which an endpoint is out of reach. */
+/** Consecutive failed probes after which an endpoint is unreachable. */
 const FAILED_PROBES_MAX = 2;
-/** At most this share of a shard is ejected at once. */
+/** Share of a shard that may be ejected at the same time. */
 const EJECTED_SHARE_MAX = 0.5;
 
-/** Why an endpoint receives little or nothing. */
 export const ENDPOINT_STATUS = {
   Ready: 'ready',
   Straggler: 'straggler',
@@ -38,7 +36,7 @@
 } as const;
 export type EndpointStatus = (typeof ENDPOINT_STATUS)[keyof typeof ENDPOINT_STATUS];
 
-/** One endpoint as shown to operators. */
+/** Endpoint status for operators. */
 export interface EndpointView {
   readonly name: string;
   readonly status: EndpointStatus;
@@ -47,7 +45,7 @@
   readonly stepMs: number;
 }
 
-/** What the table is asked to place. */
+/** Criteria for selecting an endpoint. */
 export interface Placement {
   readonly organisation: string;
   readonly prefixHash: number;
@@ -58,22 +56,22 @@
   declaration: EndpointDeclaration;
   held: number;
   isLeaving: boolean;
-  /** Looks in a row that got no answer. */
+  /** Consecutive failed probes. */
   failedProbes: number;
   status: EndpointStatus;
   step: MovingAverage;
   failures: number;
   ejections: number;
   ejectedUntilMs: number;
-  /** When slow start began; -Infinity for an endpoint known from the start. */
+  /** Start of slow start; -Infinity for endpoints of the initial configuration. */
   slowStartedMs: number;
 }
 
 /** The endpoints of one shard. */
 export interface EndpointTable {
-  /** Takes over the declared endpoints; what is known of those that stay is kept. */
+  /** Replaces the declared endpoints, keeping the state of those that remain. */
   set(endpoints: readonly EndpointDeclaration[], nowMs: number): void;
-  /** The endpoint for a placement with a free slot, or undefined. */
+  /** Selects the better of two random endpoints with a free slot; prefers `cached` if it is close. */
   choose(placement: Placement, cached: string | undefined, nowMs: number): string | undefined;
   take(endpoint: string): void;
   release(endpoint: string): void;
@@ -81,17 +79,15 @@
   recordSuccess(endpoint: string): void;
   recordFailure(endpoint: string, nowMs: number): void;
   setLeaving(endpoint: string, isLeaving: boolean): void;
-  /** Records whether a look at an endpoint, apart from requests, got an answer. */
+  /** Records the result of a health probe. */
   recordProbe(endpoint: string, isReachable: boolean): void;
-  /** Endpoints of these data centres count as unreachable until a look gets an answer. */
+  /** Endpoints in these data centres count as unreachable until a probe succeeds. */
   setPartitioned(dataCentres: ReadonlySet<string>): void;
-  /** Slots that may be granted now, over all endpoints. */
   countFreeSlots(nowMs: number): number;
   countSlots(): number;
   list(): EndpointView[];
 }
 
-/** Builds a table that samples candidates with `random`. */
 export function createEndpointTable(random: Random): EndpointTable {
   const states = new Map<string, EndpointState>();
   let isInitial = true;
@@ -102,7 +98,7 @@
       .filter((state) => state.step.count() > 0)
       .map((state) => state.step.get(0))
       .sort((a, b) => a - b);
-    // The lower median: with two endpoints of which one straggles, the sound one is the measure.
+    // The lower median, so that of two endpoints the faster one is the reference.
     return steps[Math.floor((steps.length - 1) / 2)] ?? 0;
   }
 
@@ -116,8 +112,8 @@
   }
 
   /**
-   * Guards against endpoints behind a cut: they show as connections that time out, one request
-   * after the other. Looks find out instead; this is not ejection by judgement, so it has no bound.
+   * Guards against requests that time out at endpoints behind a network partition. Not limited by
+   * `EJECTED_SHARE_MAX`.
    */
   function isUnreachable(state: EndpointState): boolean {
     const isPartitioned = partitioned.has(state.declaration.dataCentre);
@@ -255,7 +251,6 @@
     setPartitioned(dataCentres) {
       for (const state of states.values()) {
         const { dataCentre } = state.declaration;
-        // Newly out of sight: nothing is granted there until a look gets an answer.
         const isNewlyPartitioned = dataCentres.has(dataCentre) && !partitioned.has(dataCentre);
         if (isNewlyPartitioned) state.failedProbes = Math.max(1, state.failedProbes);
       }
--- a/src/routing/length-estimator.ts
+++ b/src/routing/length-estimator.ts
@@ -1,25 +1,20 @@
-/**
- * Learns how long answers get, per class and organisation, from the answers that ended. Nobody
- * declares lengths: the brief says nobody knows them.
- */
+/** Learns response lengths per class and organisation from completed responses. */
 import { createBoundedMap } from '../utils/bounded-map.js';
 import { createMovingAverage } from '../utils/moving-average.js';
 import type { MovingAverage } from '../utils/moving-average.js';
 
 const LENGTH_ALPHA = 0.05;
-/** Assumed before the first answer of a class has ended, in tokens. */
 const DEFAULT_LENGTH_TOKENS = 64;
-/** Samples after which an organisation's own mean is used in place of the class's. */
+/** Below this the mean of the class is used. */
 const ORGANISATION_SAMPLES_MIN = 8;
 const ORGANISATION_MEANS_MAX = 4096;
 
-/** Expected answer lengths. */
+/** Expected response lengths, in tokens. */
 export interface LengthEstimator {
   predict(className: string, organisation: string): number;
   record(className: string, organisation: string, tokens: number): void;
 }
 
-/** Builds an estimator that has seen nothing. */
 export function createLengthEstimator(): LengthEstimator {
   const classMeans = new Map<string, MovingAverage>();
   const organisationMeans = createBoundedMap<string, MovingAverage>(ORGANISATION_MEANS_MAX);
--- a/src/routing/prefix-index.ts
+++ b/src/routing/prefix-index.ts
@@ -1,23 +1,19 @@
 /**
- * Remembers which endpoint last served a prompt prefix. The key is salted with the organisation, so
- * no organisation can learn of, or aim at, another's prefixes; each organisation has its own bound,
- * so none can push another's entries out.
+ * Remembers which endpoint last served a prompt prefix. Prefixes are stored per organisation, so that
+ * none can probe another's prefixes or evict its entries.
  */
 import { createBoundedMap } from '../utils/bounded-map.js';
 import type { BoundedMap } from '../utils/bounded-map.js';
 
-/** Prefixes kept for one organisation. */
 const PREFIXES_PER_ORGANISATION = 64;
-/** Organisations with prefixes kept in one shard. */
 const ORGANISATIONS_MAX = 512;
 
-/** The index of one shard. */
+/** Prefix index of one shard. */
 export interface PrefixIndex {
   find(organisation: string, prefixHash: number): string | undefined;
   record(organisation: string, prefixHash: number, endpoint: string): void;
 }
 
-/** Builds an empty index. */
 export function createPrefixIndex(): PrefixIndex {
   const organisations = createBoundedMap<string, BoundedMap<number, string>>(ORGANISATIONS_MAX);
   return {
