--- a/src/admission/shard-owner.ts
+++ b/src/admission/shard-owner.ts
@@ -129,13 +129,13 @@
   function isDeadlineUnreachable(ticket: Ticket, classState: ClassState, nowMs: number): boolean {
     const slotsWanted = shardState.countWaitingAtOrAbove(ticket.tier) + 1;
     if (countPreemptibleBelow(ticket.tier) >= slotsWanted) return false;
-    const ahead = countAhead(ticket, classState);
+    const ticketsAhead = countAhead(ticket, classState);
     // Without a ticket ahead it is queued regardless, so that new samples correct the estimate.
-    if (ahead === 0) return false;
+    if (ticketsAhead === 0) return false;
     return isLikelyLate(
       ticket,
       classState,
-      nowMs + predictWait(classState, ahead, table.countSlots(), nowMs),
+      nowMs + predictWait(classState, ticketsAhead, table.countSlots(), nowMs),
     );
   }
 
--- a/src/limits/organisation-limits.ts
+++ b/src/limits/organisation-limits.ts
@@ -13,7 +13,7 @@
 /** Demand is reported from this share of the declared rate. */
 const REPORTED_RATE_SHARE = 0.1;
 /** Bounds the size of a report. */
-const REPORTED_MAX = 16;
+const REPORTED_ORGANISATIONS_MAX = 16;
 /** Relative change of demand that triggers a new report. */
 const REPORT_CHANGE_SHARE = 0.25;
 /** Bucket capacity, in seconds of the rate. */
@@ -145,7 +145,7 @@
       }
       if (!isReportStale || (shares.length === 0 && !hasReported)) return undefined;
       shares.sort((a, b) => b.rate - a.rate);
-      const reported = shares.slice(0, REPORTED_MAX);
+      const reported = shares.slice(0, REPORTED_ORGANISATIONS_MAX);
       for (const share of reported) {
         const usage = usages.get(share.organisation);
         if (usage !== undefined) usage.reportedDemand = share.rate;
--- a/src/routes/route-standing.test.ts
+++ b/src/routes/route-standing.test.ts
@@ -11,20 +11,20 @@
 
 describe('rank of routes', ({ it }) => {
   it('counts distinct priorities of streams, whatever numbers are declared', (t) => {
-    const standings = createRouteStandings([HISTORY, PLAIN, OTHER, LOOKUP, DRAFT]);
-    t.deepEqual(standings.get(LOOKUP, POOL), {
+    const ranks = createRouteStandings([HISTORY, PLAIN, OTHER, LOOKUP, DRAFT]);
+    t.deepEqual(ranks.get(LOOKUP, POOL), {
       rank: 0,
       ranks: 3,
       urgentPauseMs: Infinity,
       nextPauseMs: Infinity,
     });
-    t.deepEqual(standings.get(DRAFT, POOL), {
+    t.deepEqual(ranks.get(DRAFT, POOL), {
       rank: 1,
       ranks: 3,
       urgentPauseMs: 250,
       nextPauseMs: Infinity,
     });
-    t.deepEqual(standings.get(HISTORY, POOL), {
+    t.deepEqual(ranks.get(HISTORY, POOL), {
       rank: 2,
       ranks: 3,
       urgentPauseMs: 250,
@@ -33,7 +33,7 @@
   });
 
   it('is 0 at a pool without streams', (t) => {
-    const standings = createRouteStandings([LOOKUP, HISTORY]);
-    t.like(standings.get(HISTORY, 'elsewhere'), { rank: 0, urgentPauseMs: Infinity });
+    const ranks = createRouteStandings([LOOKUP, HISTORY]);
+    t.like(ranks.get(HISTORY, 'elsewhere'), { rank: 0, urgentPauseMs: Infinity });
   });
 });
--- a/src/routes/route-standing.ts
+++ b/src/routes/route-standing.ts
@@ -34,7 +34,7 @@
   return Math.min(...routes.map(({ gapTargetMs }) => gapTargetMs ?? Infinity));
 }
 
-function computeStanding(route: Route, routes: readonly Route[]): RouteStanding {
+function computeRank(route: Route, routes: readonly Route[]): RouteStanding {
   const moreUrgent = routes.filter(({ priority }) => priority < route.priority);
   const mostUrgent = Math.min(...routes.map(({ priority }) => priority));
   return {
@@ -63,10 +63,9 @@
     get(route, pool) {
       const poolRanks = ranksOfPool.get(pool) ?? new WeakMap<Route, RouteStanding>();
       ranksOfPool.set(pool, poolRanks);
-      const standing =
-        poolRanks.get(route) ?? computeStanding(route, streamsOfPool.get(pool) ?? []);
-      poolRanks.set(route, standing);
-      return standing;
+      const rank = poolRanks.get(route) ?? computeRank(route, streamsOfPool.get(pool) ?? []);
+      poolRanks.set(route, rank);
+      return rank;
     },
   };
 }
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -40,7 +40,7 @@
   }
   const urgency = createUrgencyRanks(configuration);
   const pools = new Map(configuration.pools.map((pool) => [pool.name, pool]));
-  const standings = createRouteStandings(configuration.routes);
+  const ranks = createRouteStandings(configuration.routes);
   return {
     version: configuration.version,
     hasOrganisations: configuration.organisations.length > 0,
@@ -48,7 +48,7 @@
       routesOfHost.get(host)?.find((route) => path.startsWith(route.pathPrefix)),
     findOrganisation: (key) => organisationOfKey.get(key),
     findPool: (name) => pools.get(name),
-    getStanding: (route, pool) => standings.get(route, pool),
+    getStanding: (route, pool) => ranks.get(route, pool),
     computeUrgency: (route, organisation) => urgency.compute(route, organisation),
   };
 }
--- a/src/routing/endpoint-table.ts
+++ b/src/routing/endpoint-table.ts
@@ -14,8 +14,7 @@
 const STRAGGLER_FACTOR = 3;
 /** Lower than `STRAGGLER_FACTOR`, so that endpoints do not oscillate. */
 const STRAGGLER_RECOVERY_FACTOR = 1.8;
-/** Consecutive failures. */
-const FAILURES_TO_EJECT = 2;
+const CONSECUTIVE_FAILURES_TO_EJECT = 2;
 const EJECTION_BASE_MS = 1000;
 const EJECTION_MAX_MS = 30_000;
 /** Time in which the slots of a new endpoint grow to the declared number. */
@@ -46,7 +45,7 @@
 }
 
 /** Criteria for selecting an endpoint. */
-export interface Placement {
+export interface EndpointCriteria {
   readonly organisation: string;
   readonly prefixHash: number;
   readonly excludedEndpoints: readonly string[];
@@ -72,7 +71,7 @@
   /** Replaces the declared endpoints, keeping the state of those that remain. */
   set(endpoints: readonly EndpointDeclaration[], nowMs: number): void;
   /** Selects the better of two random endpoints with a free slot; prefers `cached` if it is close. */
-  choose(placement: Placement, cached: string | undefined, nowMs: number): string | undefined;
+  choose(criteria: EndpointCriteria, cached: string | undefined, nowMs: number): string | undefined;
   take(endpoint: string): void;
   release(endpoint: string): void;
   recordStep(endpoint: string, stepMs: number, nowMs: number): void;
@@ -192,8 +191,8 @@
       }
       isInitial = false;
     },
-    choose(placement, cached, nowMs) {
-      let available = listAvailable(placement.excludedEndpoints, nowMs);
+    choose(criteria, cached, nowMs) {
+      let available = listAvailable(criteria.excludedEndpoints, nowMs);
       if (available.length === 0) available = listAvailable([], nowMs);
       const first = available[random.nextIndex(available.length)];
       const second = available[random.nextIndex(available.length)];
@@ -233,7 +232,7 @@
       if (state === undefined) return;
       state.failures += 1;
       const isProbeFailed = state.status === ENDPOINT_STATUS.Failing;
-      const isDue = state.failures >= FAILURES_TO_EJECT && isEjectionAllowed();
+      const isDue = state.failures >= CONSECUTIVE_FAILURES_TO_EJECT && isEjectionAllowed();
       if (!isProbeFailed && !isDue) return;
       state.status = ENDPOINT_STATUS.Failing;
       state.ejectedUntilMs =
