--- a/src/duties/duty-calls.ts
+++ b/src/duties/duty-calls.ts
@@ -9,7 +9,7 @@
 }
 
 /** So many endpoints of a pool in a data centre. */
-export interface PoolOrder {
+export interface ScaleRequest {
   readonly pool: string;
   readonly dataCentre: string;
   /** Of those that may be taken back at any time, or of the others. */
@@ -37,5 +37,5 @@
 /** The calls; none rejects. */
 export interface DutyCalls {
   sendUsage(report: UsageReport, guard: CallGuard): Promise<DutyOutcome>;
-  sendOrder(order: PoolOrder, guard: CallGuard): Promise<DutyOutcome>;
+  sendOrder(request: ScaleRequest, guard: CallGuard): Promise<DutyOutcome>;
 }
--- a/src/duties/duty-observer.ts
+++ b/src/duties/duty-observer.ts
@@ -1,5 +1,5 @@
 /** What is told of the duties, for logs and metrics. */
-import type { DutyOutcome, PoolOrder, UsageReport } from './duty-calls.js';
+import type { DutyOutcome, ScaleRequest, UsageReport } from './duty-calls.js';
 
 /** Who holds the duties. */
 export interface DutyHolder {
@@ -13,7 +13,7 @@
   /** The holder changed, as this instance sees it. */
   onHolder(holder: DutyHolder): void;
   onReported(report: UsageReport, outcome: DutyOutcome): void;
-  onOrdered(order: PoolOrder, outcome: DutyOutcome): void;
+  onOrdered(request: ScaleRequest, outcome: DutyOutcome): void;
   /** Something failed that nobody expected. */
   onFailed(reason: string): void;
 }
--- a/src/duties/duty-rows.ts
+++ b/src/duties/duty-rows.ts
@@ -23,7 +23,7 @@
 }
 
 /** What stands for a document that nobody can read: nobody's, and replaced once it has stood for a lease. */
-const UNREADABLE: LeaseDocument = {
+const UNREADABLE_LEASE: LeaseDocument = {
   holder: '',
   fence: 0,
   writeId: '',
@@ -35,7 +35,7 @@
 export function decodeLease(rows: readonly DutyRow[]): ReadLease | undefined {
   const row = findRow(rows, DUTY_KEY.Lease);
   if (row === undefined) return undefined;
-  return { version: row.version, document: parseText(LEASE_SCHEMA, row.text) ?? UNREADABLE };
+  return { version: row.version, document: parseText(LEASE_SCHEMA, row.text) ?? UNREADABLE_LEASE };
 }
 
 /** Writes down true time at 0 of the source's clock, in milliseconds since the epoch. */
--- a/src/duties/duty-store.ts
+++ b/src/duties/duty-store.ts
@@ -22,7 +22,7 @@
 }
 
 /** Every document as of one moment. */
-export interface DutyRows {
+export interface DutySnapshot {
   readonly rows: readonly DutyRow[];
   /** Nothing in the store is newer. */
   readonly newestVersion: number;
@@ -39,7 +39,7 @@
 }
 
 /** What became of a change. */
-export type DutyWrite =
+export type DutyWriteResult =
   /** `version`: of all documents that it wrote. */
   | { readonly kind: 'written'; readonly version: number }
   /** `rows`: the expected documents as they are. */
@@ -50,8 +50,8 @@
 /** The store. */
 export interface DutyStore {
   /** Undefined where it does not answer. */
-  read(): Promise<DutyRows | undefined>;
-  write(change: DutyChange): Promise<DutyWrite>;
+  read(): Promise<DutySnapshot | undefined>;
+  write(change: DutyChange): Promise<DutyWriteResult>;
 }
 
 /** Finds a document. */
--- a/src/duties/fleet-duties.ts
+++ b/src/duties/fleet-duties.ts
@@ -10,13 +10,13 @@
 import { assertNever } from '../utils/assert-never.js';
 import type { Random } from '../utils/random.js';
 import { DUTY_OUTCOME } from './duty-calls.js';
-import type { DutyCalls, DutyOutcome, PoolOrder, UsageReport } from './duty-calls.js';
+import type { DutyCalls, DutyOutcome, ScaleRequest, UsageReport } from './duty-calls.js';
 import type { DutyObserver } from './duty-observer.js';
 import { DUTY_KEY, findRow } from './duty-store.js';
-import type { DutyRows, DutyStore, DutyWrite } from './duty-store.js';
+import type { DutySnapshot, DutyStore, DutyWriteResult } from './duty-store.js';
 import { decodeEpoch, decodeLease, encodeEpoch } from './duty-rows.js';
-import { createPoolOrders } from './pool-orders.js';
-import type { OrdersCommand, OrdersMessage, SizedPool } from './pool-orders.js';
+import { createPoolScaler } from './pool-orders.js';
+import type { ScalerCommand, ScalerMessage, SizedPool } from './pool-orders.js';
 import type { TrueTime } from './true-time.js';
 import type { UsageMeter } from './usage-meter.js';
 import { createUsageReporter } from './usage-reporter.js';
@@ -25,11 +25,11 @@
 /** The lease is looked at this often, in milliseconds. */
 const TICK_MS = 100;
 /** Whether this instance may hold the lease counts once it has been so for this long, in milliseconds: who starts learns of the fleet one by one. */
-const SETTLED_MS = 1000;
+const CANDIDACY_STABLE_MS = 1000;
 /** Calls in a row without an answer after which the lease is given up: another instance may reach the platform. */
-const LOST_MAX = 3;
+const UNANSWERED_CALLS_MAX = 3;
 /** Who gave it up wants it again after this long, in milliseconds. */
-const YIELD_MS = 10_000;
+const STEP_DOWN_MS = 10_000;
 
 /** What the duties are built on. */
 export interface FleetDutiesOptions {
@@ -64,7 +64,7 @@
   /** Since the holder changed, as this instance saw it, in milliseconds. */
   readonly ageMs: number;
   readonly unsentWindows: number;
-  readonly desired: readonly PoolOrder[];
+  readonly desired: readonly ScaleRequest[];
 }
 
 /** The duties of one instance. */
@@ -77,14 +77,14 @@
 /** Starts taking part. */
 export function createFleetDuties(options: FleetDutiesOptions): FleetDuties {
   const { self, timers, random, store, calls, observer, time, meter } = options;
-  let writes = 0;
-  const started = timers.clock.wallMs();
+  let writeCount = 0;
+  const startedMs = timers.clock.wallMs();
   const lease = createLease({
     holder: self,
     bounds: resolveLeaseBounds(options.leaseMs, options.isFirstStart),
     createWriteId() {
-      writes += 1;
-      return `${self}-${started}-${writes}`;
+      writeCount += 1;
+      return `${self}-${startedMs}-${writeCount}`;
     },
     drawDelay: () => random.next(),
   });
@@ -92,65 +92,65 @@
     windowMs: options.usage?.windowMs ?? Infinity,
     dueMs: options.usage?.dueMs ?? Infinity,
     sum: (window) => meter.sum(window),
-    isReached: (trueMs) => meter.isReached(trueMs, getNow()),
+    isComplete: (fleetMs) => meter.isComplete(fleetMs, getNow()),
   });
-  const orders = createPoolOrders();
+  const scaler = createPoolScaler();
   /** Whether this instance may hold the lease, and when it was last seen to be so. */
   let candidate = { isWanted: false, sinceMs: timers.clock.monotonicMs() };
   let inFlight = 0;
-  let lostInRow = 0;
-  let yieldsUntilMs = -Infinity;
+  let unansweredInRow = 0;
+  let ineligibleUntilMs = -Infinity;
   let isActing = false;
-  let isEpochAsked = false;
-  let shown:
+  let isEpochWritePending = false;
+  let currentHolder:
     { readonly holder: string; readonly fence: number; readonly sinceMs: number } | undefined;
 
   const getNow = (): number => timers.clock.monotonicMs();
-  const getMoment = (): Moment => ({
+  const readClocks = (): Moment => ({
     monotonicMs: timers.clock.monotonicMs(),
     wallMs: timers.clock.wallMs(),
   });
-  const getGrant = (): Grant | undefined => lease.getGrant(getMoment());
+  const getGrant = (): Grant | undefined => lease.getGrant(readClocks());
 
   /** What the fleet last agreed on for a while: taking and giving up the lease by turns would do nobody's work. */
-  function isSettledCandidate(): boolean {
+  function isStableCandidate(): boolean {
     const nowMs = getNow();
     const isCandidate = options.isCandidate();
     if (isCandidate === candidate.isWanted) candidate = { ...candidate, sinceMs: nowMs };
-    else if (nowMs - candidate.sinceMs >= SETTLED_MS) {
+    else if (nowMs - candidate.sinceMs >= CANDIDACY_STABLE_MS) {
       candidate = { isWanted: isCandidate, sinceMs: nowMs };
     }
     return candidate.isWanted;
   }
 
   /** Whether this instance would take up something new. */
-  function isWilling(): boolean {
-    return isSettledCandidate() && !options.isLeaving() && getNow() >= yieldsUntilMs;
+  function isEligible(): boolean {
+    return isStableCandidate() && !options.isLeaving() && getNow() >= ineligibleUntilMs;
   }
 
-  function recordHolder(): void {
-    const seen = lease.getSeen();
-    if (seen === undefined) return;
-    const { holder, fence, isReleased } = seen;
-    if (isReleased || shown?.fence === fence) return;
-    shown = { holder, fence, sinceMs: getNow() };
+  function updateHolder(): void {
+    const lastDocument = lease.getLastDocument();
+    if (lastDocument === undefined) return;
+    const { holder, fence, isReleased } = lastDocument;
+    if (isReleased || currentHolder?.fence === fence) return;
+    currentHolder = { holder, fence, sinceMs: getNow() };
     observer.onHolder({ holder, fence, isOwn: holder === self });
   }
 
   function handleLease(message: LeaseMessage): void {
-    const commands = lease.handle(message, getMoment());
-    recordHolder();
+    const commands = lease.handle(message, readClocks());
+    updateHolder();
     for (const command of commands) runLeaseCommand(command);
     if (isActing && getGrant() === undefined) stopActing();
   }
 
   function stopActing(): void {
     isActing = false;
-    runUsage({ kind: 'lost' });
-    runOrders({ kind: 'lost' });
+    handleReporter({ kind: 'lost' });
+    handleScaler({ kind: 'lost' });
   }
 
-  async function readRows(): Promise<DutyRows | undefined> {
+  async function readRows(): Promise<DutySnapshot | undefined> {
     const rows = await store.read();
     if (rows === undefined) return undefined;
     time.recordSource(rows.sourceMs, getNow());
@@ -167,7 +167,9 @@
     handleLease({ kind: 'read', lease: decodeLease(rows.rows), newestVersion });
   }
 
-  function buildEnding(write: DutyWrite): Extract<LeaseMessage, { kind: 'written' }>['ending'] {
+  function buildWriteResult(
+    write: DutyWriteResult,
+  ): Extract<LeaseMessage, { kind: 'written' }>['ending'] {
     if (write.kind !== 'conflict') return write;
     return { kind: 'conflict', lease: decodeLease(write.rows) };
   }
@@ -178,7 +180,7 @@
       writes: [{ key: DUTY_KEY.Lease, text: JSON.stringify(document) }],
       removes: [],
     });
-    handleLease({ kind: 'written', writeId: document.writeId, ending: buildEnding(write) });
+    handleLease({ kind: 'written', writeId: document.writeId, ending: buildWriteResult(write) });
     // Guards against a suspension that the clocks hide: what is begun now was allowed a moment ago.
     if (write.kind === 'written' && !document.isReleased) advanceDuties();
   }
@@ -202,9 +204,9 @@
 
   /** Agrees on a moment of the source's clock; whoever is first decides for good. */
   async function writeEpoch(): Promise<void> {
-    const sourceMs = time.computeSource(getNow());
+    const sourceMs = time.computeSourceTime(getNow());
     if (sourceMs === undefined) {
-      isEpochAsked = false;
+      isEpochWritePending = false;
       return;
     }
     const epochMs = Math.round(timers.clock.wallMs() - sourceMs);
@@ -217,14 +219,14 @@
     const agreedMs = row === undefined ? undefined : decodeEpoch(row.text);
     if (write.kind === 'written') time.setEpoch(epochMs);
     else if (agreedMs !== undefined) time.setEpoch(agreedMs);
-    isEpochAsked = false;
+    isEpochWritePending = false;
   }
 
   function recordOutcome(outcome: DutyOutcome): void {
-    lostInRow = outcome === DUTY_OUTCOME.Lost ? lostInRow + 1 : 0;
-    if (lostInRow < LOST_MAX) return;
-    lostInRow = 0;
-    yieldsUntilMs = getNow() + YIELD_MS;
+    unansweredInRow = outcome === DUTY_OUTCOME.Lost ? unansweredInRow + 1 : 0;
+    if (unansweredInRow < UNANSWERED_CALLS_MAX) return;
+    unansweredInRow = 0;
+    ineligibleUntilMs = getNow() + STEP_DOWN_MS;
   }
 
   async function runCall(send: () => Promise<DutyOutcome>): Promise<DutyOutcome> {
@@ -241,26 +243,26 @@
   async function sendReport(report: UsageReport): Promise<void> {
     const outcome = await runCall(() => calls.sendUsage(report, getGrant));
     observer.onReported(report, outcome);
-    const isTaken = outcome === DUTY_OUTCOME.Done;
-    runUsage({ kind: 'sent', window: report.window, isTaken });
+    const isAccepted = outcome === DUTY_OUTCOME.Done;
+    handleReporter({ kind: 'sent', window: report.window, isAccepted });
   }
 
-  async function sendOrder(order: PoolOrder): Promise<void> {
-    const outcome = await runCall(() => calls.sendOrder(order, getGrant));
-    observer.onOrdered(order, outcome);
-    runOrders({ kind: 'sent', order, outcome });
+  async function sendScaleRequest(request: ScaleRequest): Promise<void> {
+    const outcome = await runCall(() => calls.sendOrder(request, getGrant));
+    observer.onOrdered(request, outcome);
+    handleScaler({ kind: 'sent', request, outcome });
   }
 
-  async function runUsageCommand(command: UsageCommand): Promise<void> {
+  async function runReporterCommand(command: UsageCommand): Promise<void> {
     switch (command.kind) {
       case 'read': {
         const rows = await readRows();
-        if (rows === undefined) runUsage({ kind: 'lost' });
-        else runUsage({ kind: 'read', rows: rows.rows });
+        if (rows === undefined) handleReporter({ kind: 'lost' });
+        else handleReporter({ kind: 'read', rows: rows.rows });
         break;
       }
       case 'change':
-        runUsage({
+        handleReporter({
           kind: 'changed',
           change: command.change,
           write: await store.write(command.change),
@@ -274,49 +276,49 @@
     }
   }
 
-  async function runOrdersCommand(command: OrdersCommand): Promise<void> {
+  async function runScalerCommand(command: ScalerCommand): Promise<void> {
     switch (command.kind) {
       case 'read': {
         const rows = await readRows();
-        if (rows === undefined) runOrders({ kind: 'lost' });
-        else runOrders({ kind: 'read', rows: rows.rows });
+        if (rows === undefined) handleScaler({ kind: 'lost' });
+        else handleScaler({ kind: 'read', rows: rows.rows });
         break;
       }
       case 'change':
-        runOrders({
+        handleScaler({
           kind: 'changed',
           change: command.change,
           write: await store.write(command.change),
         });
         break;
       case 'send':
-        await sendOrder(command.order);
+        await sendScaleRequest(command.request);
         break;
       default:
         assertNever(command);
     }
   }
 
-  function runUsage(message: UsageMessage): void {
-    for (const command of reporter.handle(message, getNow())) runTask(runUsageCommand(command));
+  function handleReporter(message: UsageMessage): void {
+    for (const command of reporter.handle(message, getNow())) runTask(runReporterCommand(command));
   }
 
-  function runOrders(message: OrdersMessage): void {
-    for (const command of orders.handle(message, getNow())) runTask(runOrdersCommand(command));
+  function handleScaler(message: ScalerMessage): void {
+    for (const command of scaler.handle(message, getNow())) runTask(runScalerCommand(command));
   }
 
   function advanceDuties(): void {
-    if (getGrant() === undefined || !isWilling()) return;
+    if (getGrant() === undefined || !isEligible()) return;
     isActing = true;
-    if (time.getEpoch() === undefined && !isEpochAsked) {
-      isEpochAsked = true;
+    if (time.getEpoch() === undefined && !isEpochWritePending) {
+      isEpochWritePending = true;
       runTask(writeEpoch());
     }
     if (options.usage !== undefined) {
-      runUsage({ kind: 'tick', trueMs: time.computeTrue(getNow()) });
+      handleReporter({ kind: 'tick', fleetMs: time.computeFleetTime(getNow()) });
     }
     if (!options.ordersPools) return;
-    runOrders({
+    handleScaler({
       kind: 'tick',
       pools: options.listPools(),
       knowledgeAgeMs: options.getKnowledgeAge(),
@@ -325,21 +327,21 @@
 
   timers.subscribe(TICK_MS, () => {
     // While a call is on its way the lease is kept, whoever wants it.
-    handleLease({ kind: 'tick', isWanted: isWilling() || (isActing && inFlight > 0) });
+    handleLease({ kind: 'tick', isWanted: isEligible() || (isActing && inFlight > 0) });
   });
 
   return {
     getStatus: () => ({
-      holder: shown?.holder,
-      fence: shown?.fence ?? 0,
+      holder: currentHolder?.holder,
+      fence: currentHolder?.fence ?? 0,
       isOwn: getGrant() !== undefined,
-      ageMs: shown === undefined ? 0 : getNow() - shown.sinceMs,
+      ageMs: currentHolder === undefined ? 0 : getNow() - currentHolder.sinceMs,
       unsentWindows: reporter.countUnsent(),
-      desired: orders.listDesired(),
+      desired: scaler.listDesired(),
     }),
     release() {
       if (getGrant() === undefined) return false;
-      yieldsUntilMs = getNow() + YIELD_MS;
+      ineligibleUntilMs = getNow() + STEP_DOWN_MS;
       return true;
     },
   };
--- a/src/duties/pool-orders.test.ts
+++ b/src/duties/pool-orders.test.ts
@@ -1,9 +1,9 @@
 import type { ScalingBounds } from '../types/traffic.js';
 import { describe } from '../test/describe.js';
-import type { DutyOutcome, PoolOrder } from './duty-calls.js';
-import type { DutyChange, DutyRow, DutyWrite } from './duty-store.js';
-import { createPoolOrders } from './pool-orders.js';
-import type { OrdersMessage, SizedPool } from './pool-orders.js';
+import type { DutyOutcome, ScaleRequest } from './duty-calls.js';
+import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
+import { createPoolScaler } from './pool-orders.js';
+import type { ScalerMessage, SizedPool } from './pool-orders.js';
 
 const SCALING: ScalingBounds = {
   dataCentres: ['a', 'b'],
@@ -15,8 +15,8 @@
 
 /** A platform that carries out what it is told, at once. */
 function createHarness(rows: DutyRow[] = []) {
-  const orders = createPoolOrders();
-  const sent: PoolOrder[] = [];
+  const scaler = createPoolScaler();
+  const sent: ScaleRequest[] = [];
   const counts = new Map<string, number>([
     ['a|false', 10],
     ['b|false', 10],
@@ -25,23 +25,24 @@
   let version = rows[0]?.version ?? 0;
   let nowMs = 0;
 
-  function storeChange({ expected, writes }: DutyChange): DutyWrite {
+  function storeChange({ expected, writes }: DutyChange): DutyWriteResult {
     if (expected[0]?.version !== version) return { kind: 'conflict', rows };
     version += 1;
     rows.splice(0, rows.length, ...writes.map((write) => ({ ...write, version })));
     return { kind: 'written', version };
   }
 
-  function run(message: OrdersMessage): void {
-    for (const command of orders.handle(message, nowMs)) {
+  function run(message: ScalerMessage): void {
+    for (const command of scaler.handle(message, nowMs)) {
       if (command.kind === 'read') run({ kind: 'read', rows });
       else if (command.kind === 'change') {
         run({ kind: 'changed', change: command.change, write: storeChange(command.change) });
       } else {
-        const { order } = command;
-        sent.push(order);
-        if (outcome === 'done') counts.set(`${order.dataCentre}|${order.isSpot}`, order.count);
-        run({ kind: 'sent', order, outcome });
+        const { request } = command;
+        sent.push(request);
+        if (outcome === 'done')
+          counts.set(`${request.dataCentre}|${request.isSpot}`, request.count);
+        run({ kind: 'sent', request, outcome });
       }
     }
   }
@@ -98,8 +99,8 @@
     const next = createHarness([...first.rows]);
     for (const [key, count] of first.counts) next.counts.set(key, count);
     next.advance(30);
-    for (const order of next.sent) {
-      t.is(first.counts.get(`${order.dataCentre}|${order.isSpot}`), order.count);
+    for (const request of next.sent) {
+      t.is(first.counts.get(`${request.dataCentre}|${request.isSpot}`), request.count);
     }
   });
 
@@ -115,11 +116,11 @@
     const { sent, counts, advance } = createHarness();
     advance(30);
     const before = sent.length;
-    const wanted = counts.get('a|true');
+    const requested = counts.get('a|true');
     counts.set('a|true', 0);
     advance(10);
     t.true(sent.length > before);
-    t.is(counts.get('a|true'), wanted);
+    t.is(counts.get('a|true'), requested);
   });
 
   it('end with the pool’s declaration', (t) => {
@@ -145,11 +146,11 @@
   it('grow the pool while prompts wait, and keep it for a while', (t) => {
     const { counts, advance } = createHarness();
     advance(30);
-    const calm = counts.get('a|true') ?? 0;
+    const idle = counts.get('a|true') ?? 0;
     advance(3, 0, 500);
-    const crowded = counts.get('a|true') ?? 0;
-    t.true(crowded > calm, `${crowded} ${calm}`);
+    const loaded = counts.get('a|true') ?? 0;
+    t.true(loaded > idle, `${loaded} ${idle}`);
     advance(20);
-    t.is(counts.get('a|true'), crowded);
+    t.is(counts.get('a|true'), loaded);
   });
 });
--- a/src/duties/pool-orders.ts
+++ b/src/duties/pool-orders.ts
@@ -6,21 +6,21 @@
 import type { ScalingBounds } from '../types/traffic.js';
 import { assertNever } from '../utils/assert-never.js';
 import { DUTY_OUTCOME } from './duty-calls.js';
-import type { DutyOutcome, PoolOrder } from './duty-calls.js';
+import type { DutyOutcome, ScaleRequest } from './duty-calls.js';
 import { DUTY_KEY, findRow } from './duty-store.js';
-import type { DutyChange, DutyRow, DutyWrite } from './duty-store.js';
-import { computeDesired, computeNeed } from './pool-sizing.js';
+import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
+import { computeDesired, computeRequiredCount } from './pool-sizing.js';
 import type { PoolPresence, SizingInput } from './pool-sizing.js';
 
 /** A pool is not ordered for before its endpoints have been the same for this long, in milliseconds: a fleet that starts hears of them one after the other. */
-const SETTLED_MS = 900;
+const COUNT_STABLE_MS = 900;
 /** A need that is over is kept for this long, in milliseconds: crowds come again. */
-const HELD_MS = 60_000;
+const SCALE_DOWN_DELAY_MS = 60_000;
 /** Room that is not to be had is asked for again after this long, in milliseconds, and a call that was turned away after the shorter time. */
-const UNAVAILABLE_MS = 3000;
-const REJECTED_MS = 1000;
+const UNAVAILABLE_RETRY_MS = 3000;
+const REJECTED_RETRY_MS = 1000;
 /** An endpoint that is not there this long after it should serve is ordered again, in milliseconds. */
-const OVERDUE_MS = 2000;
+const BOOT_GRACE_MS = 2000;
 /** Knowledge older than this, in milliseconds, orders nothing down. */
 const KNOWLEDGE_AGE_MAX_MS = 4000;
 
@@ -34,28 +34,28 @@
 }
 
 /** What orders are told. */
-export type OrdersMessage =
+export type ScalerMessage =
   | {
       readonly kind: 'tick';
       readonly pools: readonly SizedPool[];
       readonly knowledgeAgeMs: number;
     }
   | { readonly kind: 'read'; readonly rows: readonly DutyRow[] }
-  | { readonly kind: 'changed'; readonly change: DutyChange; readonly write: DutyWrite }
-  | { readonly kind: 'sent'; readonly order: PoolOrder; readonly outcome: DutyOutcome }
+  | { readonly kind: 'changed'; readonly change: DutyChange; readonly write: DutyWriteResult }
+  | { readonly kind: 'sent'; readonly request: ScaleRequest; readonly outcome: DutyOutcome }
   | { readonly kind: 'lost' };
 
 /** What orders ask for. */
-export type OrdersCommand =
+export type ScalerCommand =
   | { readonly kind: 'read' }
   | { readonly kind: 'change'; readonly change: DutyChange }
-  | { readonly kind: 'send'; readonly order: PoolOrder };
+  | { readonly kind: 'send'; readonly request: ScaleRequest };
 
 /** The orders of one holder. */
-export interface PoolOrders {
-  handle(message: OrdersMessage, nowMs: number): OrdersCommand[];
+export interface PoolScaler {
+  handle(message: ScalerMessage, nowMs: number): ScalerCommand[];
   /** What is to be there. */
-  listDesired(): PoolOrder[];
+  listDesired(): ScaleRequest[];
 }
 
 const DOCUMENT_SCHEMA = z.object({
@@ -71,26 +71,26 @@
 });
 type PoolDocument = z.infer<typeof DOCUMENT_SCHEMA>['pools'][number];
 
-interface Wanted {
-  readonly order: PoolOrder;
-  isTaken: boolean;
-  isUnderWay: boolean;
+interface Target {
+  readonly request: ScaleRequest;
+  isAccepted: boolean;
+  isInFlight: boolean;
   notBeforeMs: number;
-  takenMs: number;
+  answeredMs: number;
 }
 
 interface PoolState {
-  least: number | undefined;
-  held: number;
-  heldSinceMs: number;
+  baseline: number | undefined;
+  peakCount: number;
+  peakSinceMs: number;
   /** How many there were, and since when. */
-  seen: number;
-  seenSinceMs: number;
-  readonly wanted: Map<string, Wanted>;
+  lastCount: number;
+  lastCountSinceMs: number;
+  readonly targets: Map<string, Target>;
 }
 
-function countPresent(present: readonly PoolPresence[]): number {
-  return present.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+function countRunning(running: readonly PoolPresence[]): number {
+  return running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
 }
 
 function parseDocument(row: DutyRow | undefined): readonly PoolDocument[] {
@@ -104,68 +104,72 @@
 }
 
 /** Builds orders that have read nothing. */
-export function createPoolOrders(): PoolOrders {
+export function createPoolScaler(): PoolScaler {
   const states = new Map<string, PoolState>();
   let version: number | undefined;
   let isReading = false;
-  let underWay: DutyChange | undefined;
+  let pendingChange: DutyChange | undefined;
   /** Changes of what is wanted, and those that the change under way keeps. */
-  let changes = 0;
-  let changing = 0;
+  let targetsRevision = 0;
+  let pendingRevision = 0;
   /** Whether what is wanted stands in the store. */
-  let isKept = true;
+  let isStored = true;
 
   function getState(pool: string, nowMs: number): PoolState {
     const known = states.get(pool);
     if (known !== undefined) return known;
     const state: PoolState = {
-      least: undefined,
-      held: 0,
-      heldSinceMs: nowMs,
-      seen: 0,
-      seenSinceMs: nowMs,
-      wanted: new Map(),
+      baseline: undefined,
+      peakCount: 0,
+      peakSinceMs: nowMs,
+      lastCount: 0,
+      lastCountSinceMs: nowMs,
+      targets: new Map(),
     };
     states.set(pool, state);
     return state;
   }
 
-  function setWanted(state: PoolState, order: PoolOrder): void {
-    const key = `${order.dataCentre}|${order.isSpot}`;
-    if (state.wanted.get(key)?.order.count === order.count) return;
-    const untried = { isTaken: false, isUnderWay: false, notBeforeMs: -Infinity, takenMs: 0 };
-    state.wanted.set(key, { order, ...untried });
-    changes += 1;
-    isKept = false;
+  function setTarget(state: PoolState, request: ScaleRequest): void {
+    const key = `${request.dataCentre}|${request.isSpot}`;
+    if (state.targets.get(key)?.request.count === request.count) return;
+    const initial = { isAccepted: false, isInFlight: false, notBeforeMs: -Infinity, answeredMs: 0 };
+    state.targets.set(key, { request, ...initial });
+    targetsRevision += 1;
+    isStored = false;
   }
 
-  function updateHeld(state: PoolState, need: number, nowMs: number): void {
-    if (need < state.held && nowMs - state.heldSinceMs < HELD_MS) return;
-    if (need >= state.held) state.heldSinceMs = nowMs;
-    state.held = need;
+  function updatePeak(state: PoolState, requiredCount: number, nowMs: number): void {
+    if (requiredCount < state.peakCount && nowMs - state.peakSinceMs < SCALE_DOWN_DELAY_MS) return;
+    if (requiredCount >= state.peakCount) state.peakSinceMs = nowMs;
+    state.peakCount = requiredCount;
   }
 
   /** Whether the pool's endpoints are known well enough; the first that are make the least. */
-  function isSettled(state: PoolState, present: readonly PoolPresence[], nowMs: number): boolean {
-    if (state.least !== undefined) return true;
-    const count = countPresent(present);
-    if (count !== state.seen) {
-      state.seen = count;
-      state.seenSinceMs = nowMs;
+  function isStable(state: PoolState, running: readonly PoolPresence[], nowMs: number): boolean {
+    if (state.baseline !== undefined) return true;
+    const count = countRunning(running);
+    if (count !== state.lastCount) {
+      state.lastCount = count;
+      state.lastCountSinceMs = nowMs;
     }
-    if (count === 0 || nowMs - state.seenSinceMs < SETTLED_MS) return false;
-    state.least = count;
+    if (count === 0 || nowMs - state.lastCountSinceMs < COUNT_STABLE_MS) return false;
+    state.baseline = count;
     return true;
   }
 
   /** What was taken back, or never came, is asked for again once it should be there. */
-  function updateTaken(state: PoolState, { scaling, present }: SizedPool, nowMs: number): void {
-    for (const wanted of state.wanted.values()) {
-      const { dataCentre, isSpot, count } = wanted.order;
-      const there = present.find((each) => each.dataCentre === dataCentre);
-      const open = (isSpot ? there?.spot : there?.lasting) ?? 0;
-      const isOverdue = nowMs - wanted.takenMs > scaling.bootMs + OVERDUE_MS;
-      if (wanted.isTaken && open < count && isOverdue) wanted.isTaken = false;
+  function updateAccepted(
+    state: PoolState,
+    { scaling, present: running }: SizedPool,
+    nowMs: number,
+  ): void {
+    for (const target of state.targets.values()) {
+      const { dataCentre, isSpot, count } = target.request;
+      const local = running.find((each) => each.dataCentre === dataCentre);
+      const runningCount = (isSpot ? local?.spot : local?.lasting) ?? 0;
+      const isOverdue = nowMs - target.answeredMs > scaling.bootMs + BOOT_GRACE_MS;
+      if (target.isAccepted && runningCount < count && isOverdue) target.isAccepted = false;
     }
   }
 
@@ -176,35 +180,36 @@
     for (const pool of states.keys()) if (!declared.has(pool)) states.delete(pool);
   }
 
-  function updatePool(sized: SizedPool, isStale: boolean, nowMs: number): void {
-    const { pool, present } = sized;
+  function updatePool(load: SizedPool, isStale: boolean, nowMs: number): void {
+    const { pool, present: running } = load;
     const state = getState(pool, nowMs);
-    if (!isSettled(state, present, nowMs)) return;
-    updateTaken(state, sized, nowMs);
-    const input: SizingInput = { ...sized, least: state.least ?? 0, held: 0 };
-    updateHeld(state, computeNeed(input), nowMs);
-    for (const desired of computeDesired({ ...input, held: state.held })) {
+    if (!isStable(state, running, nowMs)) return;
+    updateAccepted(state, load, nowMs);
+    const input: SizingInput = { ...load, baseline: state.baseline ?? 0, peakCount: 0 };
+    updatePeak(state, computeRequiredCount(input), nowMs);
+    for (const desired of computeDesired({ ...input, peakCount: state.peakCount })) {
       const { dataCentre } = desired;
-      const orders: PoolOrder[] = [
+      const requests: ScaleRequest[] = [
         { pool, dataCentre, isSpot: false, count: desired.lasting },
         { pool, dataCentre, isSpot: true, count: desired.spot },
       ];
-      for (const order of orders) {
-        const before = state.wanted.get(`${dataCentre}|${order.isSpot}`)?.order.count ?? Infinity;
-        if (!isStale || order.count >= before) setWanted(state, order);
+      for (const request of requests) {
+        const currentCount =
+          state.targets.get(`${dataCentre}|${request.isSpot}`)?.request.count ?? Infinity;
+        if (!isStale || request.count >= currentCount) setTarget(state, request);
       }
     }
   }
 
   function buildChange(): DutyChange {
-    const pools: PoolDocument[] = [...states].flatMap(([pool, { least, wanted }]) =>
-      least === undefined
+    const pools: PoolDocument[] = [...states].flatMap(([pool, { baseline, targets }]) =>
+      baseline === undefined
         ? []
         : [
             {
               pool,
-              least,
-              desired: [...wanted.values()].map(({ order: { dataCentre, isSpot, count } }) => ({
+              least: baseline,
+              desired: [...targets.values()].map(({ request: { dataCentre, isSpot, count } }) => ({
                 dataCentre,
                 isSpot,
                 count,
@@ -219,23 +224,25 @@
     };
   }
 
-  function sendDue(nowMs: number): OrdersCommand[] {
-    if (!isKept) return [];
+  function sendDue(nowMs: number): ScalerCommand[] {
+    if (!isStored) return [];
     const due = [...states.values()]
-      .flatMap(({ wanted }) => [...wanted.values()])
+      .flatMap(({ targets }) => [...targets.values()])
       .filter(
-        ({ isTaken, isUnderWay, notBeforeMs }) => !isTaken && !isUnderWay && nowMs >= notBeforeMs,
+        ({ isAccepted, isInFlight, notBeforeMs }) =>
+          !isAccepted && !isInFlight && nowMs >= notBeforeMs,
       );
-    for (const wanted of due) wanted.isUnderWay = true;
-    return due.map(({ order }) => ({ kind: 'send', order }));
+    for (const target of due) target.isInFlight = true;
+    return due.map(({ request }) => ({ kind: 'send', request }));
   }
 
   function handleTick(
-    { pools, knowledgeAgeMs }: Extract<OrdersMessage, { kind: 'tick' }>,
+    { pools, knowledgeAgeMs }: Extract<ScalerMessage, { kind: 'tick' }>,
     nowMs: number,
-  ): OrdersCommand[] {
+  ): ScalerCommand[] {
     if (version === undefined) {
-      for (const { pool, present } of pools) isSettled(getState(pool, nowMs), present, nowMs);
+      for (const { pool, present: running } of pools)
+        isStable(getState(pool, nowMs), running, nowMs);
       if (isReading) return [];
       isReading = true;
       return [{ kind: 'read' }];
@@ -243,10 +250,10 @@
     const isStale = knowledgeAgeMs > KNOWLEDGE_AGE_MAX_MS;
     removeUndeclared(pools);
     for (const sized of pools) updatePool(sized, isStale, nowMs);
-    if (!isKept && underWay === undefined) {
-      underWay = buildChange();
-      changing = changes;
-      return [{ kind: 'change', change: underWay }];
+    if (!isStored && pendingChange === undefined) {
+      pendingChange = buildChange();
+      pendingRevision = targetsRevision;
+      return [{ kind: 'change', change: pendingChange }];
     }
     return sendDue(nowMs);
   }
@@ -256,25 +263,25 @@
     isReading = false;
     const row = findRow(rows, DUTY_KEY.Orders);
     version = row?.version ?? 0;
-    for (const { pool, least, desired } of parseDocument(row)) {
+    for (const { pool, least: baseline, desired } of parseDocument(row)) {
       const state = getState(pool, nowMs);
-      state.least = least;
-      for (const each of desired) setWanted(state, { pool, ...each });
+      state.baseline = baseline;
+      for (const each of desired) setTarget(state, { pool, ...each });
     }
-    isKept = true;
+    isStored = true;
   }
 
   /** An answer to a change of an earlier time as holder says nothing of the one under way. */
   function handleChanged(
-    { change, write }: Extract<OrdersMessage, { kind: 'changed' }>,
+    { change, write }: Extract<ScalerMessage, { kind: 'changed' }>,
     nowMs: number,
-  ): OrdersCommand[] {
-    if (underWay !== change) return [];
-    underWay = undefined;
+  ): ScalerCommand[] {
+    if (pendingChange !== change) return [];
+    pendingChange = undefined;
     switch (write.kind) {
       case 'written':
         version = write.version;
-        isKept = changing === changes;
+        isStored = pendingRevision === targetsRevision;
         return sendDue(nowMs);
       case 'conflict':
       case 'lost':
@@ -285,15 +292,15 @@
     }
   }
 
-  function handleSent(order: PoolOrder, outcome: DutyOutcome, nowMs: number): void {
-    const key = `${order.dataCentre}|${order.isSpot}`;
-    const wanted = states.get(order.pool)?.wanted.get(key);
-    if (wanted === undefined || wanted.order !== order) return;
-    wanted.isUnderWay = false;
-    wanted.isTaken = outcome === DUTY_OUTCOME.Done;
-    wanted.takenMs = nowMs;
+  function handleSent(request: ScaleRequest, outcome: DutyOutcome, nowMs: number): void {
+    const key = `${request.dataCentre}|${request.isSpot}`;
+    const target = states.get(request.pool)?.targets.get(key);
+    if (target === undefined || target.request !== request) return;
+    target.isInFlight = false;
+    target.isAccepted = outcome === DUTY_OUTCOME.Done;
+    target.answeredMs = nowMs;
     const isUnavailable = outcome === DUTY_OUTCOME.Unavailable;
-    wanted.notBeforeMs = nowMs + (isUnavailable ? UNAVAILABLE_MS : REJECTED_MS);
+    target.notBeforeMs = nowMs + (isUnavailable ? UNAVAILABLE_RETRY_MS : REJECTED_RETRY_MS);
   }
 
   return {
@@ -307,20 +314,22 @@
         case 'changed':
           return handleChanged(message, nowMs);
         case 'sent':
-          handleSent(message.order, message.outcome, nowMs);
+          handleSent(message.request, message.outcome, nowMs);
           return [];
         case 'lost':
           states.clear();
           version = undefined;
           isReading = false;
-          underWay = undefined;
-          isKept = true;
+          pendingChange = undefined;
+          isStored = true;
           return [];
         default:
           return assertNever(message);
       }
     },
     listDesired: () =>
-      [...states.values()].flatMap(({ wanted }) => [...wanted.values()].map(({ order }) => order)),
+      [...states.values()].flatMap(({ targets }) =>
+        [...targets.values()].map(({ request }) => request),
+      ),
   };
 }
--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -12,16 +12,16 @@
   spotPrice: 0.22,
 };
 
-function buildPresent(lasting: number, spot: number): PoolPresence[] {
+function buildRunning(lasting: number, spot: number): PoolPresence[] {
   return SCALING.dataCentres.map((dataCentre) => ({ dataCentre, lasting, spot }));
 }
 
 function buildInput(changes: Partial<SizingInput>): SizingInput {
   return {
     scaling: SCALING,
-    present: buildPresent(14, 0),
-    least: 42,
-    held: 0,
+    present: buildRunning(14, 0),
+    baseline: 42,
+    peakCount: 0,
     backlogMs: 0,
     targetMs: 400,
     ...changes,
@@ -29,26 +29,27 @@
 }
 
 /** What comes of orders that are all carried out, until nothing changes. */
-function runOrders(input: SizingInput): readonly PoolPresence[] {
-  let { present } = input;
-  for (let round = 0; round < 20; round += 1) present = computeDesired({ ...input, present });
-  return present;
+function runUntilStable(input: SizingInput): readonly PoolPresence[] {
+  let { present: running } = input;
+  for (let round = 0; round < 20; round += 1)
+    running = computeDesired({ ...input, present: running });
+  return running;
 }
 
-function countAll(present: readonly PoolPresence[]): number {
-  return present.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+function countAll(running: readonly PoolPresence[]): number {
+  return running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
 }
 
 describe('the size of a pool', ({ it }) => {
   it('stays as declared where nothing cheaper is offered', (t) => {
     const scaling = { ...SCALING, spotPrice: undefined };
     t.deepEqual(computeDesired(buildInput({ scaling })), []);
-    const present = [20, 14, 8].map((lasting, index) => ({
+    const running = [20, 14, 8].map((lasting, index) => ({
       dataCentre: `d${index}`,
       lasting,
       spot: 0,
     }));
-    t.deepEqual(computeDesired(buildInput({ scaling, present, backlogMs: 1000 })), []);
+    t.deepEqual(computeDesired(buildInput({ scaling, present: running, backlogMs: 1000 })), []);
   });
 
   it('lets no lasting endpoint go before others take its calls', (t) => {
@@ -59,27 +60,29 @@
 
   // Guards against a pool too small for a crowd, or for its usual load once a data centre's are taken back.
   it('is a third larger than declared even without any data centre’s endpoints that may go', (t) => {
-    const present = runOrders(buildInput({}));
-    for (const lost of present) t.true(countAll(present) - lost.spot >= 56);
-    const lasting = present.reduce((sum, each) => sum + each.lasting, 0);
-    t.true(lasting <= 42 * 0.25, JSON.stringify(present));
+    const running = runUntilStable(buildInput({}));
+    for (const lost of running) t.true(countAll(running) - lost.spot >= 56);
+    const onDemandCount = running.reduce((sum, each) => sum + each.lasting, 0);
+    t.true(onDemandCount <= 42 * 0.25, JSON.stringify(running));
   });
 
   it('grows with the wait for engines, with what is cheap alone', (t) => {
-    const calm = runOrders(buildInput({}));
-    const crowded = computeDesired(buildInput({ present: calm, backlogMs: 400 }));
-    t.true(countAll(crowded) > countAll(calm));
+    const idle = runUntilStable(buildInput({}));
+    const loaded = computeDesired(buildInput({ present: idle, backlogMs: 400 }));
+    t.true(countAll(loaded) > countAll(idle));
     t.deepEqual(
-      crowded.map(({ lasting }) => lasting),
-      calm.map(({ lasting }) => lasting),
+      loaded.map(({ lasting }) => lasting),
+      idle.map(({ lasting }) => lasting),
     );
   });
 
   it('falls back on lasting endpoints where no others come', (t) => {
-    const present = runOrders(buildInput({}));
-    const dry = computeDesired(buildInput({ present: present.map((p) => ({ ...p, spot: 0 })) }));
+    const running = runUntilStable(buildInput({}));
+    const withoutSpot = computeDesired(
+      buildInput({ present: running.map((p) => ({ ...p, spot: 0 })) }),
+    );
     t.deepEqual(
-      dry.map(({ lasting }) => lasting),
+      withoutSpot.map(({ lasting }) => lasting),
       [14, 14, 14],
     );
   });
@@ -91,10 +94,12 @@
       fc.nat(200),
       fc.double({ min: 0, max: 1e6, noNaN: true }),
       fc.option(fc.double({ min: 0.01, max: 2, noNaN: true }), { nil: undefined }),
-      (counts, least, backlogMs, spotPrice) => {
-        const present = counts.map((each, index) => ({ dataCentre: `d${index}`, ...each }));
+      (counts, baseline, backlogMs, spotPrice) => {
+        const running = counts.map((each, index) => ({ dataCentre: `d${index}`, ...each }));
         const scaling = { ...SCALING, spotPrice };
-        const desired = computeDesired(buildInput({ present, least, backlogMs, scaling }));
+        const desired = computeDesired(
+          buildInput({ present: running, baseline, backlogMs, scaling }),
+        );
         return desired.every(
           ({ lasting, spot }) =>
             Number.isInteger(lasting + spot) &&
--- a/src/duties/pool-sizing.ts
+++ b/src/duties/pool-sizing.ts
@@ -9,15 +9,15 @@
 import type { ScalingBounds } from '../types/traffic.js';
 
 /** The pool is kept this many times as large as declared. */
-const ROOM_FACTOR = 4 / 3;
+const HEADROOM_FACTOR = 4 / 3;
 /** Part of the pool that is never made of endpoints that may be taken back. */
-const LASTING_SHARE = 0.15;
+const ON_DEMAND_SHARE_MIN = 0.15;
 /** Where prompts would wait this part of the tightest target to be read, the pool is too small. */
-const BACKLOG_SHARE = 0.25;
+const BACKLOG_TARGET_SHARE = 0.25;
 /** The pool grows at one time by this factor at the most. */
-const GROWTH_MAX = 1.5;
+const GROWTH_FACTOR_MAX = 1.5;
 /** Part of the lasting endpoints that is given back at one time at the most. */
-const LOWERING_SHARE = 0.5;
+const ON_DEMAND_REMAINING_SHARE = 0.5;
 
 /** Endpoints of a pool in one data centre. */
 export interface PoolPresence {
@@ -39,31 +39,35 @@
   readonly scaling: ScalingBounds;
   readonly present: readonly PoolPresence[];
   /** Endpoints that there are to be in any case: as many as there were before anything was ordered. */
-  readonly least: number;
+  readonly baseline: number;
   /** The largest need of the last time. */
-  readonly held: number;
+  readonly peakCount: number;
   /** How long a prompt would wait to be read, in milliseconds; 0 while unknown. */
   readonly backlogMs: number;
   /** The tightest target of the pool's routes, in milliseconds; infinite where there is none. */
   readonly targetMs: number;
 }
 
-function isSpotCheap({ spotPrice }: ScalingBounds): boolean {
+function isSpotCheaper({ spotPrice }: ScalingBounds): boolean {
   return spotPrice !== undefined && spotPrice < 1;
 }
 
 /** How many endpoints the load needs. */
-export function computeNeed(input: SizingInput): number {
-  const { present, least, held, backlogMs, targetMs } = input;
-  const open = present.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
-  const factor = Math.min(GROWTH_MAX, backlogMs / (targetMs * BACKLOG_SHARE));
-  const grown = factor > 1 ? Math.ceil(open * factor) : 0;
-  return Math.max(Math.ceil(least * ROOM_FACTOR), held, grown);
+export function computeRequiredCount(input: SizingInput): number {
+  const { present: running, baseline, peakCount, backlogMs, targetMs } = input;
+  const runningCount = running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+  const factor = Math.min(GROWTH_FACTOR_MAX, backlogMs / (targetMs * BACKLOG_TARGET_SHARE));
+  const grown = factor > 1 ? Math.ceil(runningCount * factor) : 0;
+  return Math.max(Math.ceil(baseline * HEADROOM_FACTOR), peakCount, grown);
 }
 
-function computeSpot(need: number, lasting: number, dataCentres: number): number {
-  const rest = Math.max(0, need - lasting * dataCentres);
-  return Math.ceil(rest / Math.max(1, dataCentres - 1));
+function computeSpotPerDataCentre(
+  requiredCount: number,
+  lasting: number,
+  dataCentres: number,
+): number {
+  const remainder = Math.max(0, requiredCount - lasting * dataCentres);
+  return Math.ceil(remainder / Math.max(1, dataCentres - 1));
 }
 
 /**
@@ -71,21 +75,24 @@
  * with them goes what their engines hold in memory.
  */
 export function computeDesired(input: SizingInput): DesiredCount[] {
-  const { scaling, present } = input;
-  const dataCentres = present.length;
-  if (dataCentres === 0 || !isSpotCheap(scaling)) return [];
-  const base = Math.min(
+  const { scaling, present: running } = input;
+  const dataCentres = running.length;
+  if (dataCentres === 0 || !isSpotCheaper(scaling)) return [];
+  const minOnDemand = Math.min(
     scaling.max,
-    Math.max(scaling.min, Math.ceil((input.least * LASTING_SHARE) / dataCentres)),
+    Math.max(scaling.min, Math.ceil((input.baseline * ON_DEMAND_SHARE_MIN) / dataCentres)),
   );
-  const spot = computeSpot(computeNeed(input), base, dataCentres);
-  const spotNow = present.reduce((sum, each) => sum + each.spot, 0);
+  const spot = computeSpotPerDataCentre(computeRequiredCount(input), minOnDemand, dataCentres);
+  const runningSpot = running.reduce((sum, each) => sum + each.spot, 0);
   // Room beyond the least is made of what is cheap, or not at all.
-  const missing = Math.max(0, input.least - spotNow);
-  const wanted = Math.max(base, Math.ceil(missing / dataCentres));
-  return present.map((each) => {
-    const floor = Math.floor(each.lasting * LOWERING_SHARE);
-    const lasting = Math.min(scaling.max, Math.max(wanted, Math.min(each.lasting, floor)));
+  const shortfall = Math.max(0, input.baseline - runningSpot);
+  const targetOnDemand = Math.max(minOnDemand, Math.ceil(shortfall / dataCentres));
+  return running.map((each) => {
+    const stepDownFloor = Math.floor(each.lasting * ON_DEMAND_REMAINING_SHARE);
+    const lasting = Math.min(
+      scaling.max,
+      Math.max(targetOnDemand, Math.min(each.lasting, stepDownFloor)),
+    );
     return {
       dataCentre: each.dataCentre,
       lasting,
--- a/src/duties/true-time.test.ts
+++ b/src/duties/true-time.test.ts
@@ -4,12 +4,12 @@
 describe('true time', ({ it }) => {
   it('is known once the source and the agreed moment are', (t) => {
     const time = createTrueTime();
-    t.is(time.computeTrue(100), undefined);
+    t.is(time.computeFleetTime(100), undefined);
     time.recordSource(5000, 100);
-    t.is(time.computeTrue(100), undefined);
+    t.is(time.computeFleetTime(100), undefined);
     time.setEpoch(1_000_000);
-    t.is(time.computeTrue(100), 1_005_000);
-    t.is(time.computeTrue(160), 1_005_060);
+    t.is(time.computeFleetTime(100), 1_005_000);
+    t.is(time.computeFleetTime(160), 1_005_060);
   });
 
   it('goes by what came the shortest way', (t) => {
@@ -18,7 +18,7 @@
     time.recordSource(1000, 40);
     time.recordSource(1100, 102);
     time.recordSource(1200, 290);
-    t.is(time.computeTrue(300), 1298);
+    t.is(time.computeFleetTime(300), 1298);
   });
 
   it('keeps the first moment that was agreed on', (t) => {
@@ -31,7 +31,7 @@
   it('is known by what peers tell, from those that are nearer to the source', (t) => {
     const time = createTrueTime();
     time.recordTold({ trueMs: 1_000_900, hops: 1 }, 100);
-    t.is(time.computeTrue(150), 1_000_950);
+    t.is(time.computeFleetTime(150), 1_000_950);
     t.deepEqual(time.buildTold(150), { trueMs: 1_000_950, hops: 2 });
     time.recordTold({ trueMs: 1_000_000, hops: 0 }, 150);
     t.deepEqual(time.buildTold(200), { trueMs: 1_000_050, hops: 1 });
@@ -47,12 +47,12 @@
     first.recordTold({ trueMs: 1000, hops: 0 }, 0);
     for (let ms = 100; ms < 5000; ms += 100) {
       // The second instance's clock gains a hundredth.
-      const told = first.buildTold(ms);
-      if (told !== undefined) second.recordTold(told, ms * 1.01);
-      const back = second.buildTold(ms * 1.01);
-      if (back !== undefined) first.recordTold(back, ms);
+      const sent = first.buildTold(ms);
+      if (sent !== undefined) second.recordTold(sent, ms * 1.01);
+      const returned = second.buildTold(ms * 1.01);
+      if (returned !== undefined) first.recordTold(returned, ms);
     }
-    t.is(first.computeTrue(5000), 6000);
+    t.is(first.computeFleetTime(5000), 6000);
   });
 
   it('leaves out what nobody has told for long', (t) => {
@@ -60,7 +60,7 @@
     time.setEpoch(0);
     time.recordSource(1000, 0);
     time.recordTold({ trueMs: 39_000, hops: 1 }, 40_000);
-    t.is(time.computeTrue(40_000), 39_000);
+    t.is(time.computeFleetTime(40_000), 39_000);
   });
 
   // Guards against counting a suspension's calls into windows that were over before it.
@@ -69,7 +69,7 @@
     time.setEpoch(0);
     time.recordSource(1000, 0);
     time.recordSource(9000, 500);
-    t.is(time.computeTrue(500), 9000);
+    t.is(time.computeFleetTime(500), 9000);
   });
 
   it('forgets what was heard long ago, as clocks run apart', (t) => {
@@ -78,8 +78,8 @@
     time.recordSource(1000, 0);
     time.recordSource(31_990, 31_000);
     time.recordSource(62_980, 62_000);
-    t.is(time.computeTrue(62_000), 62_990);
+    t.is(time.computeFleetTime(62_000), 62_990);
     time.recordSource(93_970, 93_000);
-    t.is(time.computeTrue(93_000), 93_980);
+    t.is(time.computeFleetTime(93_000), 93_980);
   });
 });
--- a/src/duties/true-time.ts
+++ b/src/duties/true-time.ts
@@ -26,21 +26,21 @@
   /** The source's clock showed this when something was sent that came at `receivedMs` on the own monotonic clock. */
   recordSource(sourceMs: number, receivedMs: number): void;
   /** It was this when a peer sent something that came at `receivedMs`. */
-  recordTold(told: ToldTime, receivedMs: number): void;
+  recordTold(peerTime: ToldTime, receivedMs: number): void;
   /** What to tell peers at a moment of the own monotonic clock; undefined while not known, or known from too far. */
   buildTold(monotonicMs: number): ToldTime | undefined;
   /** True time at 0 of the source's clock, in milliseconds since the epoch; the first that is set stays. */
   setEpoch(epochMs: number): void;
   getEpoch(): number | undefined;
   /** What the source's clock shows at a moment of the own monotonic clock, late by the shortest way of what was heard of it. */
-  computeSource(monotonicMs: number): number | undefined;
+  computeSourceTime(monotonicMs: number): number | undefined;
   /** Milliseconds since the epoch at a moment of the own monotonic clock; undefined while not known. */
-  computeTrue(monotonicMs: number): number | undefined;
+  computeFleetTime(monotonicMs: number): number | undefined;
 }
 
 /** How far another clock is ahead of the own monotonic one. */
 interface ClockOffset {
-  record(shownMs: number, receivedMs: number): void;
+  record(remoteMs: number, receivedMs: number): void;
   /** Minus infinity while unknown, or heard too long ago. */
   get(nowMs: number): number;
 }
@@ -49,19 +49,19 @@
 function createOffset(): ClockOffset {
   let offsetMs = -Infinity;
   let earlierOffsetMs = -Infinity;
-  let spanSinceMs = -Infinity;
-  let heardMs = -Infinity;
+  let spanStartMs = -Infinity;
+  let updatedMs = -Infinity;
   return {
-    record(shownMs, receivedMs) {
-      if (receivedMs - spanSinceMs >= SPAN_MS) {
+    record(remoteMs, receivedMs) {
+      if (receivedMs - spanStartMs >= SPAN_MS) {
         earlierOffsetMs = offsetMs;
         offsetMs = -Infinity;
-        spanSinceMs = receivedMs;
+        spanStartMs = receivedMs;
       }
-      heardMs = receivedMs;
-      offsetMs = Math.max(offsetMs, shownMs - receivedMs);
+      updatedMs = receivedMs;
+      offsetMs = Math.max(offsetMs, remoteMs - receivedMs);
     },
-    get: (nowMs) => (nowMs - heardMs > SPAN_MS ? -Infinity : Math.max(offsetMs, earlierOffsetMs)),
+    get: (nowMs) => (nowMs - updatedMs > SPAN_MS ? -Infinity : Math.max(offsetMs, earlierOffsetMs)),
   };
 }
 
@@ -69,13 +69,13 @@
 export function createTrueTime(): TrueTime {
   const source = createOffset();
   /** By how often it was passed on: 1 where the teller had it from the source. */
-  const told = Array.from({ length: HOPS_MAX }, createOffset);
+  const peers = Array.from({ length: HOPS_MAX }, createOffset);
   let epoch: number | undefined;
 
   /** Of what is known, what came by the fewest instances. */
   function getNearest(nowMs: number): { readonly offsetMs: number; readonly hops: number } {
-    const ownMs = epoch === undefined ? -Infinity : source.get(nowMs) + epoch;
-    const offsets = [ownMs, ...told.map((each) => each.get(nowMs))];
+    const sourceOffsetMs = epoch === undefined ? -Infinity : source.get(nowMs) + epoch;
+    const offsets = [sourceOffsetMs, ...peers.map((each) => each.get(nowMs))];
     const hops = offsets.findIndex((offsetMs) => Number.isFinite(offsetMs));
     return hops < 0
       ? { offsetMs: -Infinity, hops: Infinity }
@@ -84,8 +84,8 @@
 
   return {
     recordSource: (sourceMs, receivedMs) => source.record(sourceMs, receivedMs),
-    recordTold({ trueMs, hops }, receivedMs) {
-      told[hops]?.record(trueMs, receivedMs);
+    recordTold({ trueMs: fleetMs, hops }, receivedMs) {
+      peers[hops]?.record(fleetMs, receivedMs);
     },
     buildTold(monotonicMs) {
       const { offsetMs, hops } = getNearest(monotonicMs);
@@ -95,11 +95,11 @@
       epoch ??= epochMs;
     },
     getEpoch: () => epoch,
-    computeSource(monotonicMs) {
+    computeSourceTime(monotonicMs) {
       const offsetMs = source.get(monotonicMs);
       return Number.isFinite(offsetMs) ? monotonicMs + offsetMs : undefined;
     },
-    computeTrue(monotonicMs) {
+    computeFleetTime(monotonicMs) {
       const { offsetMs } = getNearest(monotonicMs);
       return Number.isFinite(offsetMs) ? monotonicMs + offsetMs : undefined;
     },
--- a/src/duties/usage-ledger.ts
+++ b/src/duties/usage-ledger.ts
@@ -23,9 +23,9 @@
 export interface UsageLedger {
   add(source: string, window: number, organisation: string): void;
   /** Takes what a start of an instance told; less than is known is no news. */
-  merge(source: string, share: UsageShare): void;
+  merge(source: string, windowCounts: UsageShare): void;
   /** What one start counted, by window. */
-  listOf(source: string): UsageShare[];
+  listBySource(source: string): UsageShare[];
   /** The sums over all instances, by organisation in order of names. */
   sum(window: number): UsageCount[];
 }
@@ -63,13 +63,13 @@
       const counts = getCounts(source, window);
       counts?.set(organisation, (counts.get(organisation) ?? 0) + 1);
     },
-    merge(source, { window, counts: told }) {
+    merge(source, { window, counts: received }) {
       const counts = getCounts(source, window);
-      for (const { organisation, count } of told) {
+      for (const { organisation, count } of received) {
         counts?.set(organisation, Math.max(counts.get(organisation) ?? 0, count));
       }
     },
-    listOf: (source) =>
+    listBySource: (source) =>
       [...windows]
         .filter(([, sources]) => sources.has(source))
         .map(([window, sources]) => ({
--- a/src/duties/usage-meter.test.ts
+++ b/src/duties/usage-meter.test.ts
@@ -23,38 +23,42 @@
 }
 
 /** Everything that is told in a time. */
-function listTold(meter: ReturnType<typeof createHarness>['meter'], fromMs: number, toMs: number) {
-  const told: UsageTelling[] = [];
+function listUpdates(
+  meter: ReturnType<typeof createHarness>['meter'],
+  fromMs: number,
+  toMs: number,
+) {
+  const updates: UsageTelling[] = [];
   for (let nowMs = fromMs; nowMs < toMs; nowMs += 100) {
-    const telling = meter.advance(nowMs);
-    if (telling !== undefined) told.push(telling);
+    const update = meter.advance(nowMs);
+    if (update !== undefined) updates.push(update);
   }
-  return told;
+  return updates;
 }
 
 describe('counts of calls', ({ it }) => {
   // Guards against usage that is billed twice, or lost, because of what the network did to a telling.
   it('come out the same however often, late and in whatever order they are told', (t) => {
-    const share = fc.record({
+    const call = fc.record({
       source: fc.constantFrom('a|1', 'a|2', 'b|1'),
       window: fc.integer({ min: 1, max: 3 }),
       organisation: fc.constantFrom('x', 'y'),
     });
     fc.assert(
-      fc.property(fc.array(share), fc.infiniteStream(fc.nat()), (calls, draws) => {
-        const whole = createUsageLedger();
-        const tellings = calls.map(({ source, window, organisation }) => {
-          whole.add(source, window, organisation);
-          return { source, shares: whole.listOf(source) };
+      fc.property(fc.array(call), fc.infiniteStream(fc.nat()), (calls, draws) => {
+        const expected = createUsageLedger();
+        const updateMessages = calls.map(({ source, window, organisation }) => {
+          expected.add(source, window, organisation);
+          return { source, shares: expected.listBySource(source) };
         });
         const merged = createUsageLedger();
-        const shuffled = [...tellings, ...tellings]
-          .map((telling) => ({ telling, order: draws.next().value }))
+        const shuffled = [...updateMessages, ...updateMessages]
+          .map((update) => ({ telling: update, order: draws.next().value }))
           .sort((a, b) => a.order - b.order);
-        for (const { telling } of shuffled) {
-          for (const each of telling.shares) merged.merge(telling.source, each);
+        for (const { telling: update } of shuffled) {
+          for (const each of update.shares) merged.merge(update.source, each);
         }
-        for (const window of [1, 2, 3]) t.deepEqual(merged.sum(window), whole.sum(window));
+        for (const window of [1, 2, 3]) t.deepEqual(merged.sum(window), expected.sum(window));
       }),
     );
   });
@@ -64,9 +68,9 @@
     start();
     meter.record('x', 4990);
     meter.record('x', 5010);
-    const told = listTold(meter, 5100, 8000);
-    t.is(told.filter(({ shares }) => shares.length > 0).length, 3);
-    t.deepEqual(told[0]?.shares, [
+    const updates = listUpdates(meter, 5100, 8000);
+    t.is(updates.filter(({ shares }) => shares.length > 0).length, 3);
+    t.deepEqual(updates[0]?.shares, [
       { window: 0, counts: [{ organisation: 'x', count: 1 }] },
       { window: 1, counts: [{ organisation: 'x', count: 1 }] },
     ]);
@@ -77,9 +81,9 @@
     const { meter, start } = createHarness('a');
     start();
     meter.record('x', 10);
-    listTold(meter, 100, 4000);
+    listUpdates(meter, 100, 4000);
     meter.record('y', 4100);
-    t.deepEqual(listTold(meter, 4200, 4700)[0]?.shares, [
+    t.deepEqual(listUpdates(meter, 4200, 4700)[0]?.shares, [
       { window: 0, counts: [{ organisation: 'y', count: 1 }] },
     ]);
   });
@@ -90,12 +94,12 @@
     start();
     meter.record('x', 10);
     meter.record('y', 5010);
-    listTold(meter, 5100, 9000);
+    listUpdates(meter, 5100, 9000);
     meter.addKeeper();
-    const keeper = createHarness('b').meter;
-    for (const telling of listTold(meter, 9100, 10_000)) keeper.merge(telling, 10_000);
-    t.deepEqual(keeper.sum(0), [{ organisation: 'x', count: 1 }]);
-    t.deepEqual(keeper.sum(1), [{ organisation: 'y', count: 1 }]);
+    const aggregator = createHarness('b').meter;
+    for (const update of listUpdates(meter, 9100, 10_000)) aggregator.merge(update, 10_000);
+    t.deepEqual(aggregator.sum(0), [{ organisation: 'x', count: 1 }]);
+    t.deepEqual(aggregator.sum(1), [{ organisation: 'y', count: 1 }]);
   });
 
   it('wait for true time to be known', (t) => {
@@ -109,27 +113,27 @@
   });
 
   it('of an instance that died stay with whoever was told', (t) => {
-    const keeper = createHarness('a').meter;
+    const aggregator = createHarness('a').meter;
     const first = createHarness('b', 1);
     const second = createHarness('b', 2);
     for (const { meter, start } of [first, second]) {
       start();
       meter.record('x', 10);
-      for (const telling of listTold(meter, 100, 2000)) keeper.merge(telling, 2000);
+      for (const update of listUpdates(meter, 100, 2000)) aggregator.merge(update, 2000);
     }
-    t.deepEqual(keeper.sum(0), [{ organisation: 'x', count: 2 }]);
+    t.deepEqual(aggregator.sum(0), [{ organisation: 'x', count: 2 }]);
   });
 
   it('reach a moment once everybody that is heard has told so', (t) => {
-    const keeper = createHarness('a').meter;
-    const shares: UsageTelling['shares'] = [];
+    const aggregator = createHarness('a').meter;
+    const windows: UsageTelling['shares'] = [];
     const source = { instance: 'b', incarnation: 1 };
-    keeper.merge({ source, reachedMs: 4900, shares }, 4900);
-    t.false(keeper.isReached(5000, 4950));
-    keeper.merge({ source, reachedMs: 5100, shares }, 5100);
-    t.true(keeper.isReached(5000, 5150));
-    t.false(keeper.isReached(10_000, 10_000));
+    aggregator.merge({ source, reachedMs: 4900, shares: windows }, 4900);
+    t.false(aggregator.isComplete(5000, 4950));
+    aggregator.merge({ source, reachedMs: 5100, shares: windows }, 5100);
+    t.true(aggregator.isComplete(5000, 5150));
+    t.false(aggregator.isComplete(10_000, 10_000));
     // An instance that fell silent is not waited for.
-    t.true(keeper.isReached(10_000, 20_000));
+    t.true(aggregator.isComplete(10_000, 20_000));
   });
 });
--- a/src/duties/usage-meter.ts
+++ b/src/duties/usage-meter.ts
@@ -11,17 +11,17 @@
 import type { UsageCount, UsageLedger, UsageShare } from './usage-ledger.js';
 
 /** What is new is told this often, in milliseconds, in a fleet of up to `PERIOD_FLEET` instances. */
-const TELL_PERIOD_MS = 400;
+const UPDATE_INTERVAL_MS = 400;
 /** In a larger one as much less often, so that who keeps the counts hears as many datagrams a second. */
-const PERIOD_FLEET = 80;
+const BASE_FLEET_SIZE = 80;
 /** Each sum is told so often. */
-const REPEATS = 3;
+const SENDS_PER_COUNT = 3;
 /** Nothing new is said this many periods after the last telling, so that others see how far the counts reach. */
-const QUIET_PERIODS = 3;
+const EMPTY_UPDATE_INTERVALS = 3;
 /** Calls that began before true time was known, at most. */
-const EARLY_MAX = 10_000;
+const BUFFERED_CALLS_MAX = 10_000;
 /** A telling that came longer ago, in milliseconds, says nothing of whether its instance still counts. */
-const HEARD_MS = 6000;
+const SOURCE_TIMEOUT_MS = 6000;
 
 /** One start of an instance. */
 export interface UsageSource {
@@ -51,25 +51,25 @@
 /** The counts of one instance, and of all where it is told. */
 export interface UsageMeter {
   /** An endpoint began a call of the organisation at a moment of the monotonic clock. */
-  record(organisation: string, begunMs: number): void;
+  record(organisation: string, startedMs: number): void;
   /** What is to be told now; undefined where nothing is. */
   advance(nowMs: number): UsageTelling | undefined;
   /** Everything is told anew: somebody keeps counts now who was not told before. */
   addKeeper(): void;
-  merge(telling: UsageTelling, nowMs: number): void;
+  merge(update: UsageTelling, nowMs: number): void;
   sum(window: number): UsageCount[];
   /** Whether all that are heard have told everything that began before a moment of true time. */
-  isReached(trueMs: number, nowMs: number): boolean;
+  isComplete(fleetMs: number, nowMs: number): boolean;
 }
 
-interface Early {
+interface BufferedCall {
   readonly organisation: string;
-  readonly begunMs: number;
+  readonly startedMs: number;
 }
 
-interface Reach {
-  readonly reachedMs: number;
-  readonly heardMs: number;
+interface Watermark {
+  readonly watermarkMs: number;
+  readonly receivedMs: number;
 }
 
 function formatSource({ instance, incarnation }: UsageSource): string {
@@ -81,80 +81,85 @@
   const { windowMs, time, countInstances } = options;
   const source = formatSource(options.source);
   const ledger: UsageLedger = createUsageLedger();
-  const early: Early[] = [];
+  const bufferedCalls: BufferedCall[] = [];
   /** How often each sum is still to be told, by window and organisation. */
-  const untold = new Map<number, Map<string, number>>();
-  const reaches = new Map<string, Reach>();
-  let toldMs = -Infinity;
-  let quietPeriods = 0;
+  const pendingSends = new Map<number, Map<string, number>>();
+  const watermarks = new Map<string, Watermark>();
+  let lastUpdateMs = -Infinity;
+  let emptyIntervals = 0;
 
-  function addCall({ organisation, begunMs }: Early): boolean {
-    const trueMs = time.computeTrue(begunMs);
-    if (trueMs === undefined) return false;
-    const window = Math.floor(trueMs / windowMs);
+  function addCall({ organisation, startedMs }: BufferedCall): boolean {
+    const fleetMs = time.computeFleetTime(startedMs);
+    if (fleetMs === undefined) return false;
+    const window = Math.floor(fleetMs / windowMs);
     ledger.add(source, window, organisation);
-    const repeats = untold.get(window) ?? new Map<string, number>();
-    untold.set(window, repeats.set(organisation, REPEATS));
+    const sendsLeft = pendingSends.get(window) ?? new Map<string, number>();
+    pendingSends.set(window, sendsLeft.set(organisation, SENDS_PER_COUNT));
     return true;
   }
 
-  function addEarly(): void {
-    while (early.length > 0 && addCall(early[0] as Early)) early.shift();
+  function addBufferedCalls(): void {
+    while (bufferedCalls.length > 0 && addCall(bufferedCalls[0] as BufferedCall))
+      bufferedCalls.shift();
   }
 
-  function computePeriodMs(): number {
-    return TELL_PERIOD_MS * Math.max(1, countInstances() / PERIOD_FLEET);
+  function computeUpdateIntervalMs(): number {
+    return UPDATE_INTERVAL_MS * Math.max(1, countInstances() / BASE_FLEET_SIZE);
   }
 
-  function takeUntold(): UsageShare[] {
-    const shares = ledger.listOf(source).map(({ window, counts }) => ({
+  function takePendingCounts(): UsageShare[] {
+    const windows = ledger.listBySource(source).map(({ window, counts }) => ({
       window,
-      counts: counts.filter(({ organisation }) => untold.get(window)?.has(organisation)),
+      counts: counts.filter(({ organisation }) => pendingSends.get(window)?.has(organisation)),
     }));
-    for (const [window, repeatsOf] of untold) {
-      for (const [organisation, repeats] of repeatsOf) {
-        if (repeats > 1) repeatsOf.set(organisation, repeats - 1);
-        else repeatsOf.delete(organisation);
+    for (const [window, sendsByOrganisation] of pendingSends) {
+      for (const [organisation, sends] of sendsByOrganisation) {
+        if (sends > 1) sendsByOrganisation.set(organisation, sends - 1);
+        else sendsByOrganisation.delete(organisation);
       }
-      if (repeatsOf.size === 0) untold.delete(window);
+      if (sendsByOrganisation.size === 0) pendingSends.delete(window);
     }
-    return shares.filter(({ counts }) => counts.length > 0);
+    return windows.filter(({ counts }) => counts.length > 0);
   }
 
   return {
-    record(organisation, begunMs) {
-      const call: Early = { organisation, begunMs };
-      addEarly();
-      if (!addCall(call) && early.length < EARLY_MAX) early.push(call);
+    record(organisation, startedMs) {
+      const call: BufferedCall = { organisation, startedMs };
+      addBufferedCalls();
+      if (!addCall(call) && bufferedCalls.length < BUFFERED_CALLS_MAX) bufferedCalls.push(call);
     },
     advance(nowMs) {
-      addEarly();
-      const reachedMs = time.computeTrue(nowMs);
-      if (reachedMs === undefined || nowMs - toldMs < computePeriodMs()) return undefined;
-      toldMs = nowMs;
-      const shares = takeUntold();
-      quietPeriods = shares.length > 0 ? 0 : quietPeriods + 1;
-      return quietPeriods % QUIET_PERIODS === 0
-        ? { source: options.source, reachedMs, shares }
+      addBufferedCalls();
+      const watermarkMs = time.computeFleetTime(nowMs);
+      if (watermarkMs === undefined || nowMs - lastUpdateMs < computeUpdateIntervalMs())
+        return undefined;
+      lastUpdateMs = nowMs;
+      const windows = takePendingCounts();
+      emptyIntervals = windows.length > 0 ? 0 : emptyIntervals + 1;
+      return emptyIntervals % EMPTY_UPDATE_INTERVALS === 0
+        ? { source: options.source, reachedMs: watermarkMs, shares: windows }
         : undefined;
     },
     addKeeper() {
-      for (const { window, counts } of ledger.listOf(source)) {
-        untold.set(window, new Map(counts.map(({ organisation }) => [organisation, REPEATS])));
+      for (const { window, counts } of ledger.listBySource(source)) {
+        pendingSends.set(
+          window,
+          new Map(counts.map(({ organisation }) => [organisation, SENDS_PER_COUNT])),
+        );
       }
     },
-    merge(telling, nowMs) {
-      const teller = formatSource(telling.source);
-      for (const share of telling.shares) ledger.merge(teller, share);
-      const known = reaches.get(teller)?.reachedMs ?? -Infinity;
-      reaches.set(teller, { reachedMs: Math.max(known, telling.reachedMs), heardMs: nowMs });
+    merge(update, nowMs) {
+      const sender = formatSource(update.source);
+      for (const windowCounts of update.shares) ledger.merge(sender, windowCounts);
+      const known = watermarks.get(sender)?.watermarkMs ?? -Infinity;
+      watermarks.set(sender, { watermarkMs: Math.max(known, update.reachedMs), receivedMs: nowMs });
     },
     sum: (window) => ledger.sum(window),
-    isReached(trueMs, nowMs) {
-      for (const [name, { heardMs }] of reaches) {
-        if (nowMs - heardMs > HEARD_MS) reaches.delete(name);
+    isComplete(fleetMs, nowMs) {
+      for (const [name, { receivedMs }] of watermarks) {
+        if (nowMs - receivedMs > SOURCE_TIMEOUT_MS) watermarks.delete(name);
       }
-      return [...reaches.values()].every(({ reachedMs }) => reachedMs >= trueMs);
+      return [...watermarks.values()].every(({ watermarkMs }) => watermarkMs >= fleetMs);
     },
   };
 }
--- a/src/duties/usage-reporter.test.ts
+++ b/src/duties/usage-reporter.test.ts
@@ -3,7 +3,7 @@
 import { createRandom } from '../utils/random.js';
 import type { UsageReport } from './duty-calls.js';
 import { DUTY_KEY } from './duty-store.js';
-import type { DutyChange, DutyRow, DutyWrite } from './duty-store.js';
+import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
 import { createUsageReporter } from './usage-reporter.js';
 import type { UsageCommand, UsageMessage, UsageReporter } from './usage-reporter.js';
 import { encodeReport, listReports } from './usage-rows.js';
@@ -17,7 +17,7 @@
   let version = 0;
   return {
     list: () => rows,
-    change({ expected, writes, removes }: DutyChange): DutyWrite {
+    change({ expected, writes, removes }: DutyChange): DutyWriteResult {
       const find = (key: string) => rows.find((row) => row.key === key);
       const isMet = expected.every((each) => (find(each.key)?.version ?? 0) === each.version);
       if (!isMet) return { kind: 'conflict', rows };
@@ -37,12 +37,12 @@
     function createHarness() {
       const store = createStore();
       const sent: UsageReport[] = [];
-      let isReached = true;
+      let isComplete = true;
       const reporter = createUsageReporter({
         windowMs: WINDOW_MS,
         dueMs: DUE_MS,
         sum: (window) => [{ organisation: 'x', count: window }],
-        isReached: () => isReached,
+        isComplete: () => isComplete,
       });
       function run(message: UsageMessage, nowMs: number): void {
         for (const command of reporter.handle(message, nowMs)) {
@@ -52,15 +52,15 @@
             run({ kind: 'changed', change, write: store.change(change) }, nowMs);
           } else {
             sent.push(command.report);
-            run({ kind: 'sent', window: command.report.window, isTaken: true }, nowMs);
+            run({ kind: 'sent', window: command.report.window, isAccepted: true }, nowMs);
           }
         }
       }
-      const tick = (trueMs: number): void => run({ kind: 'tick', trueMs }, trueMs);
-      const setReached = (next: boolean): void => {
-        isReached = next;
+      const tick = (fleetMs: number): void => run({ kind: 'tick', fleetMs }, fleetMs);
+      const setComplete = (next: boolean): void => {
+        isComplete = next;
       };
-      return { store, sent, tick, setReached, reporter };
+      return { store, sent, tick, setReached: setComplete, reporter };
     }
 
     it('begin with the window in which the first holder begins, one for each', (t) => {
@@ -104,10 +104,10 @@
       const random = createRandom(seed);
       const store = createStore();
       const arrived: UsageReport[] = [];
-      let later: { readonly at: number; readonly run: () => void }[] = [];
+      let delayed: { readonly at: number; readonly run: () => void }[] = [];
       const clock = { step: 0 };
-      const addLater = (run: () => void): void => {
-        later.push({ at: clock.step + random.nextIndex(6), run });
+      const addDelayed = (run: () => void): void => {
+        delayed.push({ at: clock.step + random.nextIndex(6), run });
       };
       const createHolder = (): Holder => ({
         // Each holder has heard other counts.
@@ -115,7 +115,7 @@
           windowMs: WINDOW_MS,
           dueMs: DUE_MS,
           sum: (window) => [{ organisation: 'x', count: window * 100 + random.nextIndex(90) }],
-          isReached: () => random.next() < 0.8,
+          isComplete: () => random.next() < 0.8,
         }),
         queue: [],
         isActing: false,
@@ -124,41 +124,42 @@
 
       function runCommand(index: number, command: UsageCommand): void {
         const holder = holders[index] as Holder;
-        const answer = (message: UsageMessage): void => {
+        const sendResponse = (message: UsageMessage): void => {
           if (random.next() < 0.2) return;
-          addLater(() => holders[index] === holder && holder.queue.push(message));
+          addDelayed(() => holders[index] === holder && holder.queue.push(message));
         };
-        addLater(() => {
-          if (command.kind === 'read') answer({ kind: 'read', rows: store.list() });
+        addDelayed(() => {
+          if (command.kind === 'read') sendResponse({ kind: 'read', rows: store.list() });
           else if (command.kind === 'change') {
             const { change } = command;
-            answer({ kind: 'changed', change, write: store.change(change) });
+            sendResponse({ kind: 'changed', change, write: store.change(change) });
           } else {
             arrived.push(command.report);
-            answer({ kind: 'sent', window: command.report.window, isTaken: true });
+            sendResponse({ kind: 'sent', window: command.report.window, isAccepted: true });
           }
         });
       }
 
-      function runLater(): void {
-        const due = later.filter(({ at }) => at <= clock.step);
-        later = later.filter(({ at }) => at > clock.step);
+      function runDelayed(): void {
+        const due = delayed.filter(({ at }) => at <= clock.step);
+        delayed = delayed.filter(({ at }) => at > clock.step);
         due.forEach(({ run }) => run());
       }
 
       for (; clock.step < steps; clock.step += 1) {
-        const trueMs = 12_000 + clock.step * 400;
-        runLater();
+        const fleetMs = 12_000 + clock.step * 400;
+        runDelayed();
         const index = random.nextIndex(holders.length);
         if (random.next() < 0.05) holders[index] = createHolder();
         const holder = holders[index] as Holder;
         if (random.next() < 0.1) holder.isActing = !holder.isActing;
         const messages: UsageMessage[] = [
           ...holder.queue.splice(0),
-          holder.isActing ? { kind: 'tick', trueMs } : { kind: 'lost' },
+          holder.isActing ? { kind: 'tick', fleetMs } : { kind: 'lost' },
         ];
         for (const message of messages) {
-          for (const command of holder.reporter.handle(message, trueMs)) runCommand(index, command);
+          for (const command of holder.reporter.handle(message, fleetMs))
+            runCommand(index, command);
         }
       }
       return arrived;
@@ -169,13 +170,13 @@
       let windows = 0;
       fc.assert(
         fc.property(fc.integer(), (seed) => {
-          const textOf = new Map<number, string>();
+          const textByWindow = new Map<number, string>();
           for (const { window, counts } of runReports(seed, 300)) {
             const text = JSON.stringify(counts);
-            if ((textOf.get(window) ?? text) !== text) return false;
-            textOf.set(window, text);
+            if ((textByWindow.get(window) ?? text) !== text) return false;
+            textByWindow.set(window, text);
           }
-          windows += textOf.size;
+          windows += textByWindow.size;
           return true;
         }),
         { seed: 5, numRuns: Number(process.env.USAGE_RUNS ?? 300) },
@@ -193,8 +194,8 @@
       const texts = encodeReport({ window: 9, counts });
       t.true(texts.every((text) => Buffer.byteLength(text) < 65_536));
       const rows = texts.map((text, part) => ({ key: `usage/9/${part}`, version: 1, text }));
-      const garbled = { key: 'usage/8/0', version: 1, text: '{' };
-      t.deepEqual(listReports([garbled, ...rows]), [{ window: 9, counts }]);
+      const malformed = { key: 'usage/8/0', version: 1, text: '{' };
+      t.deepEqual(listReports([malformed, ...rows]), [{ window: 9, counts }]);
       t.deepEqual(listReports(rows.slice(1)), []);
       t.is(DUTY_KEY.UsageThrough, 'usage-through');
     });
--- a/src/duties/usage-reporter.ts
+++ b/src/duties/usage-reporter.ts
@@ -9,10 +9,10 @@
 import { assertNever } from '../utils/assert-never.js';
 import type { UsageReport } from './duty-calls.js';
 import { DUTY_KEY, USAGE_PREFIX, findRow } from './duty-store.js';
-import type { DutyChange, DutyRow, DutyWrite } from './duty-store.js';
+import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
 import {
-  decodeThrough,
-  encodeThrough,
+  decodeThroughWindow,
+  encodeThroughWindow,
   formatUsageKey,
   listReports,
   encodeReport,
@@ -20,15 +20,15 @@
 import type { UsageCount } from './usage-ledger.js';
 
 /** A window's counts are fixed no sooner than this after its end, in milliseconds: calls that began in it are still on their way. */
-const CLOSE_MIN_MS = 700;
+const COMMIT_DELAY_MS = 700;
 /** And no later than this part of the time in which it is due: what is left is for sending. */
-const CLOSE_MAX_SHARE = 0.5;
+const COMMIT_DEADLINE_SHARE = 0.5;
 /** Windows that are made up for after a time without any holder. */
-const BEHIND_MAX = 12;
+const BACKFILL_WINDOWS_MAX = 12;
 /** Windows that are fixed at one time. */
-const FIXED_AT_ONCE = 4;
+const COMMIT_BATCH_MAX = 4;
 /** A report that was not taken is sent again after this long, in milliseconds. */
-const RESEND_MS = 1500;
+const RETRY_DELAY_MS = 1500;
 
 /** What a reporter is built on. */
 export interface UsageReporterOptions {
@@ -38,7 +38,7 @@
   readonly dueMs: number;
   readonly sum: (window: number) => readonly UsageCount[];
   /** Whether everything that began before a moment of true time is in the sums. */
-  readonly isReached: (trueMs: number) => boolean;
+  readonly isComplete: (fleetMs: number) => boolean;
 }
 
 /** What a reporter asks for. */
@@ -51,10 +51,10 @@
 /** What a reporter is told. */
 export type UsageMessage =
   /** The holder may act; `trueMs`: undefined while true time is not known. */
-  | { readonly kind: 'tick'; readonly trueMs: number | undefined }
+  | { readonly kind: 'tick'; readonly fleetMs: number | undefined }
   | { readonly kind: 'read'; readonly rows: readonly DutyRow[] }
-  | { readonly kind: 'changed'; readonly change: DutyChange; readonly write: DutyWrite }
-  | { readonly kind: 'sent'; readonly window: number; readonly isTaken: boolean }
+  | { readonly kind: 'changed'; readonly change: DutyChange; readonly write: DutyWriteResult }
+  | { readonly kind: 'sent'; readonly window: number; readonly isAccepted: boolean }
   /** This instance is not the holder any more, or not yet again. */
   | { readonly kind: 'lost' };
 
@@ -65,61 +65,61 @@
   countUnsent(): number;
 }
 
-interface Known {
+interface CommittedState {
   readonly throughVersion: number;
   /** The newest window that is fixed; undefined before the first. */
-  readonly through: number | undefined;
+  readonly throughWindow: number | undefined;
 }
 
-interface Unsent {
+interface UnsentReport {
   readonly report: UsageReport;
   sentMs: number;
-  isUnderWay: boolean;
+  isInFlight: boolean;
 }
 
-interface Pending {
+interface PendingCommit {
   readonly change: DutyChange;
   readonly reports: readonly UsageReport[];
-  readonly through: number;
+  readonly throughWindow: number;
 }
 
 /** Builds a reporter that has read nothing. */
 export function createUsageReporter(options: UsageReporterOptions): UsageReporter {
   const { windowMs, dueMs } = options;
-  let known: Known | undefined;
+  let committed: CommittedState | undefined;
   let isReading = false;
-  let pending: Pending | undefined;
-  const unsent = new Map<number, Unsent>();
+  let pending: PendingCommit | undefined;
+  const unsent = new Map<number, UnsentReport>();
   /** Documents of reports that were taken; they go with the next change. */
-  let taken: string[] = [];
+  let acceptedKeys: string[] = [];
 
-  function removeAll(): void {
-    known = undefined;
+  function removeState(): void {
+    committed = undefined;
     isReading = false;
     pending = undefined;
     unsent.clear();
-    taken = [];
+    acceptedKeys = [];
   }
 
-  function isClosed(window: number, trueMs: number): boolean {
+  function isCommittable(window: number, fleetMs: number): boolean {
     const endMs = (window + 1) * windowMs;
-    if (trueMs < endMs + CLOSE_MIN_MS) return false;
-    return trueMs >= endMs + dueMs * CLOSE_MAX_SHARE || options.isReached(endMs);
+    if (fleetMs < endMs + COMMIT_DELAY_MS) return false;
+    return fleetMs >= endMs + dueMs * COMMIT_DEADLINE_SHARE || options.isComplete(endMs);
   }
 
   /** Windows whose counts can be fixed now, in order. */
-  function listClosed({ through }: Known, trueMs: number): number[] {
-    const current = Math.floor(trueMs / windowMs);
-    const first = Math.max((through ?? current - 1) + 1, current - BEHIND_MAX);
+  function listCommittable({ throughWindow }: CommittedState, fleetMs: number): number[] {
+    const current = Math.floor(fleetMs / windowMs);
+    const first = Math.max((throughWindow ?? current - 1) + 1, current - BACKFILL_WINDOWS_MAX);
     const windows: number[] = [];
-    for (let window = first; window < current && windows.length < FIXED_AT_ONCE; window += 1) {
-      if (!isClosed(window, trueMs)) break;
+    for (let window = first; window < current && windows.length < COMMIT_BATCH_MAX; window += 1) {
+      if (!isCommittable(window, fleetMs)) break;
       windows.push(window);
     }
     return windows;
   }
 
-  function buildChange(reports: readonly UsageReport[], through: number): DutyChange {
+  function buildChange(reports: readonly UsageReport[], throughWindow: number): DutyChange {
     const writes = reports.flatMap((report) =>
       encodeReport(report).map((text, part) => ({
         key: formatUsageKey(report.window, part),
@@ -127,38 +127,38 @@
       })),
     );
     return {
-      expected: [{ key: DUTY_KEY.UsageThrough, version: known?.throughVersion ?? 0 }],
-      writes: [{ key: DUTY_KEY.UsageThrough, text: encodeThrough(through) }, ...writes],
-      removes: taken.filter((key) => key.startsWith(USAGE_PREFIX)),
+      expected: [{ key: DUTY_KEY.UsageThrough, version: committed?.throughVersion ?? 0 }],
+      writes: [{ key: DUTY_KEY.UsageThrough, text: encodeThroughWindow(throughWindow) }, ...writes],
+      removes: acceptedKeys.filter((key) => key.startsWith(USAGE_PREFIX)),
     };
   }
 
-  function setPending(reports: readonly UsageReport[], through: number): UsageCommand[] {
-    const change = buildChange(reports, through);
-    pending = { change, reports, through };
+  function setPending(reports: readonly UsageReport[], throughWindow: number): UsageCommand[] {
+    const change = buildChange(reports, throughWindow);
+    pending = { change, reports, throughWindow };
     return [{ kind: 'change', change }];
   }
 
-  function postChange(trueMs: number): UsageCommand[] {
-    if (known === undefined || pending !== undefined) return [];
-    const current = Math.floor(trueMs / windowMs);
+  function postCommit(fleetMs: number): UsageCommand[] {
+    if (committed === undefined || pending !== undefined) return [];
+    const current = Math.floor(fleetMs / windowMs);
     // The first window of all is the one in which the first holder begins.
-    if (known.through === undefined) {
+    if (committed.throughWindow === undefined) {
       return setPending([], current - 1);
     }
-    const windows = listClosed(known, trueMs);
-    const through = windows.at(-1);
-    if (through === undefined) return [];
+    const windows = listCommittable(committed, fleetMs);
+    const throughWindow = windows.at(-1);
+    if (throughWindow === undefined) return [];
     const reports = windows.map((window) => ({ window, counts: options.sum(window) }));
-    return setPending(reports, through);
+    return setPending(reports, throughWindow);
   }
 
   function sendDue(nowMs: number): UsageCommand[] {
     const due = [...unsent.values()].filter(
-      ({ isUnderWay, sentMs }) => !isUnderWay && nowMs - sentMs >= RESEND_MS,
+      ({ isInFlight, sentMs }) => !isInFlight && nowMs - sentMs >= RETRY_DELAY_MS,
     );
     for (const entry of due) {
-      entry.isUnderWay = true;
+      entry.isInFlight = true;
       entry.sentMs = nowMs;
     }
     return due.map(({ report }) => ({ kind: 'send', report }));
@@ -166,26 +166,26 @@
 
   function addUnsent(reports: readonly UsageReport[]): void {
     for (const report of reports) {
-      const isTaken = taken.includes(formatUsageKey(report.window, 0));
-      if (!isTaken) unsent.set(report.window, { report, sentMs: -Infinity, isUnderWay: false });
+      const isAccepted = acceptedKeys.includes(formatUsageKey(report.window, 0));
+      if (!isAccepted) unsent.set(report.window, { report, sentMs: -Infinity, isInFlight: false });
     }
   }
 
-  function handleTick(trueMs: number | undefined, nowMs: number): UsageCommand[] {
-    if (known === undefined) {
+  function handleTick(fleetMs: number | undefined, nowMs: number): UsageCommand[] {
+    if (committed === undefined) {
       if (isReading) return [];
       isReading = true;
       return [{ kind: 'read' }];
     }
-    return [...(trueMs === undefined ? [] : postChange(trueMs)), ...sendDue(nowMs)];
+    return [...(fleetMs === undefined ? [] : postCommit(fleetMs)), ...sendDue(nowMs)];
   }
 
   function handleRead(rows: readonly DutyRow[], nowMs: number): UsageCommand[] {
     isReading = false;
     const row = findRow(rows, DUTY_KEY.UsageThrough);
-    known = {
+    committed = {
       throughVersion: row?.version ?? 0,
-      through: row === undefined ? undefined : decodeThrough(row.text),
+      throughWindow: row === undefined ? undefined : decodeThroughWindow(row.text),
     };
     addUnsent(listReports(rows));
     return sendDue(nowMs);
@@ -197,47 +197,47 @@
     nowMs: number,
   ): UsageCommand[] {
     if (pending?.change !== change) return [];
-    const { reports, through } = pending;
+    const { reports, throughWindow } = pending;
     pending = undefined;
     switch (write.kind) {
       case 'written':
-        known = { throughVersion: write.version, through };
-        taken = [];
+        committed = { throughVersion: write.version, throughWindow };
+        acceptedKeys = [];
         addUnsent(reports);
         return sendDue(nowMs);
       case 'conflict':
       case 'lost':
         // What stands in the store is what counts; another holder, or a late write, was first.
-        known = undefined;
+        committed = undefined;
         return [];
       default:
         return assertNever(write);
     }
   }
 
-  function recordSent(window: number, isTaken: boolean): void {
+  function recordSent(window: number, isAccepted: boolean): void {
     const entry = unsent.get(window);
     if (entry === undefined) return;
-    entry.isUnderWay = false;
-    if (!isTaken) return;
+    entry.isInFlight = false;
+    if (!isAccepted) return;
     unsent.delete(window);
-    taken.push(...encodeReport(entry.report).map((_, part) => formatUsageKey(window, part)));
+    acceptedKeys.push(...encodeReport(entry.report).map((_, part) => formatUsageKey(window, part)));
   }
 
   return {
     handle(message, nowMs) {
       switch (message.kind) {
         case 'tick':
-          return handleTick(message.trueMs, nowMs);
+          return handleTick(message.fleetMs, nowMs);
         case 'read':
           return handleRead(message.rows, nowMs);
         case 'changed':
           return handleChanged(message, nowMs);
         case 'sent':
-          recordSent(message.window, message.isTaken);
+          recordSent(message.window, message.isAccepted);
           return [];
         case 'lost':
-          removeAll();
+          removeState();
           return [];
         default:
           return assertNever(message);
--- a/src/duties/usage-rows.ts
+++ b/src/duties/usage-rows.ts
@@ -14,7 +14,7 @@
   parts: z.int().positive(),
   counts: z.array(z.object({ organisation: z.string(), count: z.int() })),
 });
-const THROUGH_SCHEMA = z.object({ window: z.int() });
+const THROUGH_WINDOW_SCHEMA = z.object({ window: z.int() });
 
 /** The key of one part of a window's counts. */
 export function formatUsageKey(window: number, part: number): string {
@@ -33,7 +33,9 @@
     }
     parts.at(-1)?.push(entry);
   }
-  return parts.map((own) => JSON.stringify({ window, parts: parts.length, counts: own }));
+  return parts.map((partCounts) =>
+    JSON.stringify({ window, parts: parts.length, counts: partCounts }),
+  );
 }
 
 function parsePart(row: DutyRow): z.infer<typeof PART_SCHEMA> | undefined {
@@ -47,26 +49,27 @@
 
 /** The whole reports among all documents, oldest first; one that lacks a part is none. */
 export function listReports(rows: readonly DutyRow[]): UsageReport[] {
-  const partsOf = new Map<number, z.infer<typeof PART_SCHEMA>[]>();
+  const partsByWindow = new Map<number, z.infer<typeof PART_SCHEMA>[]>();
   for (const row of rows) {
     const part = row.key.startsWith(USAGE_PREFIX) ? parsePart(row) : undefined;
-    if (part !== undefined) partsOf.set(part.window, [...(partsOf.get(part.window) ?? []), part]);
+    if (part !== undefined)
+      partsByWindow.set(part.window, [...(partsByWindow.get(part.window) ?? []), part]);
   }
-  return [...partsOf]
+  return [...partsByWindow]
     .filter(([, parts]) => parts.length === parts[0]?.parts)
     .map(([window, parts]) => ({ window, counts: parts.flatMap(({ counts }) => counts) }))
     .sort((a, b) => a.window - b.window);
 }
 
 /** Writes down the newest window that is fixed. */
-export function encodeThrough(window: number): string {
+export function encodeThroughWindow(window: number): string {
   return JSON.stringify({ window });
 }
 
 /** The newest window that is fixed; undefined where the document cannot be read. */
-export function decodeThrough(text: string): number | undefined {
+export function decodeThroughWindow(text: string): number | undefined {
   try {
-    return THROUGH_SCHEMA.safeParse(JSON.parse(text)).data?.window;
+    return THROUGH_WINDOW_SCHEMA.safeParse(JSON.parse(text)).data?.window;
   } catch {
     return undefined;
   }
--- a/src/leases/lapse-watch.ts
+++ b/src/leases/lapse-watch.ts
@@ -5,27 +5,27 @@
 import { createBoundedMap } from '../utils/bounded-map.js';
 
 /** Documents that are remembered; one that was forgotten counts as seen for the first time. */
-const SEEN_MAX = 1024;
+const OBSERVATIONS_MAX = 1024;
 
 /** Documents as this instance saw them. */
-export interface LapseWatch {
+export interface LeaseExpiryTracker {
   /** Whether a document has stood at this version for long enough; `nowMs` is of the monotonic clock. */
   isLapsed(key: string, version: number, nowMs: number): boolean;
 }
 
-interface Seen {
+interface Observation {
   readonly version: number;
-  readonly sinceMs: number;
+  readonly firstSeenMs: number;
 }
 
 /** Builds a watch that has seen nothing. */
-export function createLapseWatch(lengthMs: number): LapseWatch {
-  const seenOf = createBoundedMap<string, Seen>(SEEN_MAX);
+export function createLapseWatch(durationMs: number): LeaseExpiryTracker {
+  const observations = createBoundedMap<string, Observation>(OBSERVATIONS_MAX);
   return {
     isLapsed(key, version, nowMs) {
-      const seen = seenOf.get(key);
-      if (seen?.version === version) return nowMs - seen.sinceMs >= lengthMs;
-      seenOf.set(key, { version, sinceMs: nowMs });
+      const last = observations.get(key);
+      if (last?.version === version) return nowMs - last.firstSeenMs >= durationMs;
+      observations.set(key, { version, firstSeenMs: nowMs });
       return false;
     },
   };
--- a/src/leases/lease-bounds.ts
+++ b/src/leases/lease-bounds.ts
@@ -21,27 +21,27 @@
 }
 
 /** Renewals within one length: two may be lost. */
-const RENEWALS = 3;
+const RENEWALS_PER_LEASE = 3;
 /** Parts of the length. */
-const LAPSE_MARGIN_SHARE = 0.17;
-const SAFETY_SHARE = 0.1;
+const EXPIRY_MARGIN_SHARE = 0.17;
+const SAFETY_MARGIN_SHARE = 0.1;
 
 /**
  * The times of a lease of this length, whose calls each end within the holder's grant. `isNew`: nobody can
  * have held it before.
  * @default isNew false
  */
-export function resolveLeaseBounds(lengthMs: number, isNew = false): LeaseBounds {
-  const renewMs = lengthMs / RENEWALS;
-  const lapseMarginMs = lengthMs * LAPSE_MARGIN_SHARE;
+export function resolveLeaseBounds(durationMs: number, isFirstStart = false): LeaseBounds {
+  const renewIntervalMs = durationMs / RENEWALS_PER_LEASE;
+  const expiryMarginMs = durationMs * EXPIRY_MARGIN_SHARE;
   return {
-    lengthMs,
-    renewMs,
-    lapseMarginMs,
-    absentMs: isNew ? 0 : lengthMs + lapseMarginMs,
-    safetyMs: lengthMs * SAFETY_SHARE,
+    lengthMs: durationMs,
+    renewMs: renewIntervalMs,
+    lapseMarginMs: expiryMarginMs,
+    absentMs: isFirstStart ? 0 : durationMs + expiryMarginMs,
+    safetyMs: durationMs * SAFETY_MARGIN_SHARE,
     settlingMs: 0,
-    readMs: renewMs,
-    callTimeoutMs: renewMs,
+    readMs: renewIntervalMs,
+    callTimeoutMs: renewIntervalMs,
   };
 }
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -8,27 +8,27 @@
 
 const STEP_MS = 50;
 /** The first holder has the lease by then, in milliseconds. */
-const SETTLING_MS = 6000;
+const FIRST_TAKEOVER_MS = 6000;
 /** Schedules in one run; many more by hand, with `LEASE_RUNS`. */
 const RUNS = Number(process.env.LEASE_RUNS ?? 1000);
 /** Steps in which nothing happens, for each in which something does. */
-const CALM_STEPS = 12;
+const QUIET_STEPS_PER_FAULT = 12;
 
 /** Nobody removes documents; what is done about one that vanishes has a test of its own. */
-const troubles = Object.values(TROUBLE).filter(
+const faults = Object.values(TROUBLE).filter(
   (trouble) => trouble !== TROUBLE.None && trouble !== TROUBLE.Erase,
 );
 
 const step: fc.Arbitrary<PlayedStep> = fc.record({
   machine: fc.nat(4),
   trouble: fc.oneof(
-    { weight: CALM_STEPS, arbitrary: fc.constant<Trouble>(TROUBLE.None) },
-    { weight: 1, arbitrary: fc.constantFrom(...troubles) },
+    { weight: QUIET_STEPS_PER_FAULT, arbitrary: fc.constant<Trouble>(TROUBLE.None) },
+    { weight: 1, arbitrary: fc.constantFrom(...faults) },
   ),
 });
 
 /** A calm stretch. */
-function buildCalm(ms: number): PlayedStep[] {
+function buildQuietSteps(ms: number): PlayedStep[] {
   return Array.from({ length: ms / STEP_MS }, () => ({ machine: 0, trouble: TROUBLE.None }));
 }
 
@@ -37,7 +37,7 @@
   fc.integer(),
   fc
     .array(step, { minLength: 200, maxLength: 600 })
-    .map((steps) => [...buildCalm(SETTLING_MS), ...steps]),
+    .map((steps) => [...buildQuietSteps(FIRST_TAKEOVER_MS), ...steps]),
 );
 
 function findBreaches(parts?: LeaseParts): string | undefined {
@@ -94,14 +94,14 @@
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
-          const hideWall = ({ monotonicMs }: { monotonicMs: number }) => ({
+          const hideWallClock = ({ monotonicMs }: { monotonicMs: number }) => ({
             monotonicMs,
             wallMs: monotonicMs,
           });
           return {
-            handle: (message, now) => lease.handle(message, hideWall(now)),
-            getGrant: (now) => lease.getGrant(hideWall(now)),
-            getSeen: () => lease.getSeen(),
+            handle: (message, now) => lease.handle(message, hideWallClock(now)),
+            getGrant: (now) => lease.getGrant(hideWallClock(now)),
+            getLastDocument: () => lease.getLastDocument(),
           };
         },
       };
@@ -126,11 +126,16 @@
       };
       const turns: PlayedStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
         { machine, trouble: TROUBLE.Yield },
-        ...buildCalm(1200),
+        ...buildQuietSteps(1200),
       ]);
       const breaches = Array.from({ length: 200 }, (_, seed) =>
         findBreach(
-          runLeasePlay(2, [...buildCalm(SETTLING_MS), ...turns], createRandom(seed), parts),
+          runLeasePlay(
+            2,
+            [...buildQuietSteps(FIRST_TAKEOVER_MS), ...turns],
+            createRandom(seed),
+            parts,
+          ),
         ),
       );
       t.true(breaches.some((breach) => breach !== undefined));
@@ -139,14 +144,16 @@
 
   block('after its holder is gone', ({ it }) => {
     /** From the last call of the holder to the first of the next, in milliseconds. */
-    const buildTakeovers = (trouble: Trouble): number[] =>
+    const listTakeoverTimes = (fault: Trouble): number[] =>
       Array.from({ length: 30 }, (_, seed) => {
-        const holder = runLeasePlay(4, buildCalm(SETTLING_MS), createRandom(seed)).at(-1);
+        const holder = runLeasePlay(4, buildQuietSteps(FIRST_TAKEOVER_MS), createRandom(seed)).at(
+          -1,
+        );
         const machine = Number(holder?.machine.slice(1));
         const steps = [
-          ...buildCalm(SETTLING_MS),
-          { machine, trouble },
-          ...buildCalm(3 * LENGTH_MS),
+          ...buildQuietSteps(FIRST_TAKEOVER_MS),
+          { machine, trouble: fault },
+          ...buildQuietSteps(3 * LENGTH_MS),
         ];
         const calls = runLeasePlay(4, steps, createRandom(seed));
         const last = calls.findLast(({ fence }) => fence === holder?.fence);
@@ -155,24 +162,24 @@
       });
 
     it('is taken over within two lengths of a kill', (t) => {
-      for (const ms of buildTakeovers(TROUBLE.Kill)) t.true(ms < 2 * LENGTH_MS);
+      for (const ms of listTakeoverTimes(TROUBLE.Kill)) t.true(ms < 2 * LENGTH_MS);
     });
 
     it('is not taken over while a holder whose document vanished may still act', (t) => {
       const steps = [
-        ...buildCalm(SETTLING_MS),
+        ...buildQuietSteps(FIRST_TAKEOVER_MS),
         { machine: 0, trouble: TROUBLE.Erase },
-        ...buildCalm(8000),
+        ...buildQuietSteps(8000),
       ];
       for (let seed = 0; seed < 30; seed += 1) {
         const calls = runLeasePlay(4, steps, createRandom(seed));
         t.is(findBreach(calls), undefined);
-        t.true((calls.at(-1)?.atMs ?? 0) > SETTLING_MS + 6000);
+        t.true((calls.at(-1)?.atMs ?? 0) > FIRST_TAKEOVER_MS + 6000);
       }
     });
 
     it('is handed over within two renewals of the last call of a holder that leaves', (t) => {
-      for (const ms of buildTakeovers(TROUBLE.Drain)) t.true(ms < (2 * LENGTH_MS) / 3);
+      for (const ms of listTakeoverTimes(TROUBLE.Drain)) t.true(ms < (2 * LENGTH_MS) / 3);
     });
   });
 });
--- a/src/leases/lease.test.ts
+++ b/src/leases/lease.test.ts
@@ -2,7 +2,7 @@
 import { describe } from '../test/describe.js';
 import { ORDER_FLIGHT_MS, ORDER_LEASE } from '../orders/order-lease.js';
 import { createLease } from './lease.js';
-import type { Lease, LeaseCommand, Moment, WriteEnding } from './lease.js';
+import type { Lease, LeaseCommand, Moment, WriteResult } from './lease.js';
 import type { ReadLease } from './lease-document.js';
 
 const STEP_MS = 250;
@@ -28,9 +28,9 @@
 interface Step {
   readonly holder: number;
   readonly action: 'run' | 'pause' | 'suspend' | 'wake' | 'cut_off' | 'reconnected';
-  readonly isAnswerLost: boolean;
+  readonly isResponseLost: boolean;
   /** How long orders sent in this step are on their way, in milliseconds. */
-  readonly flightMs: number;
+  readonly latencyMs: number;
 }
 
 const stepArbitrary: fc.Arbitrary<Step> = fc.record({
@@ -48,71 +48,71 @@
       'reconnected',
     ] as const),
   ),
-  isAnswerLost: fc.integer({ min: 0, max: 5 }).map((draw) => draw === 0),
-  flightMs: fc.integer({ min: 0, max: ORDER_FLIGHT_MS - STEP_MS }),
+  isResponseLost: fc.integer({ min: 0, max: 5 }).map((draw) => draw === 0),
+  latencyMs: fc.integer({ min: 0, max: ORDER_FLIGHT_MS - STEP_MS }),
 });
 
 /** Orders on their way to an engine that ignores fencing numbers. */
-interface Flight {
+interface InFlightOrder {
   readonly fence: number;
-  readonly landsMs: number;
+  readonly arrivesMs: number;
 }
 
 /** Runs a schedule; the fences in the order in which they reach the engine. */
 function runSchedule(steps: readonly Step[]): number[] {
   const holders = [createHolder('a'), createHolder('b'), createHolder('c')];
   const suspended = new Set<Holder>();
-  let item: ReadLease | undefined;
+  let stored: ReadLease | undefined;
   const cutOff = new Set<Holder>();
-  let flightMs = 0;
+  let latencyMs = 0;
   let nowMs = 0;
-  let flights: Flight[] = [];
-  const landed: number[] = [];
+  let inFlight: InFlightOrder[] = [];
+  const arrivedFences: number[] = [];
 
   const getMoment = (holder: Holder): Moment => ({
     monotonicMs: holder.monotonicMs,
     wallMs: 1_000_000 + nowMs,
   });
 
-  function runCommand(holder: Holder, command: LeaseCommand, isAnswerLost: boolean): void {
+  function runCommand(holder: Holder, command: LeaseCommand, isResponseLost: boolean): void {
     if (cutOff.has(holder)) return;
     if (command.kind === 'read') {
-      const message = { kind: 'read' as const, lease: item, newestVersion: 0 };
+      const message = { kind: 'read' as const, lease: stored, newestVersion: 0 };
       holder.queue.push(...holder.lease.handle(message, getMoment(holder)));
       return;
     }
-    const isMet = (item?.version ?? 0) === command.expectedVersion;
-    if (isMet) item = { version: command.expectedVersion + 1, document: command.document };
-    const ending: WriteEnding = isMet
+    const isMet = (stored?.version ?? 0) === command.expectedVersion;
+    if (isMet) stored = { version: command.expectedVersion + 1, document: command.document };
+    const result: WriteResult = isMet
       ? { kind: 'written', version: command.expectedVersion + 1 }
-      : { kind: 'conflict', lease: item };
+      : { kind: 'conflict', lease: stored };
     const { writeId } = command.document;
     const message = {
       kind: 'written' as const,
       writeId,
-      ending: isAnswerLost ? ({ kind: 'lost' } as const) : ending,
+      ending: isResponseLost ? ({ kind: 'lost' } as const) : result,
     };
     holder.queue.push(...holder.lease.handle(message, getMoment(holder)));
   }
 
-  function runHolder(holder: Holder, isAnswerLost: boolean): void {
+  function runHolder(holder: Holder, isResponseLost: boolean): void {
     if (holder.isPaused) return;
     const moment = getMoment(holder);
     holder.queue.push(...holder.lease.handle({ kind: 'tick', isWanted: true }, moment));
-    for (const command of holder.queue.splice(0)) runCommand(holder, command, isAnswerLost);
+    for (const command of holder.queue.splice(0)) runCommand(holder, command, isResponseLost);
     const fence = holder.lease.getGrant(getMoment(holder))?.fence;
-    if (fence !== undefined) flights.push({ fence, landsMs: nowMs + flightMs });
+    if (fence !== undefined) inFlight.push({ fence, arrivesMs: nowMs + latencyMs });
   }
 
-  function addLanded(): void {
-    const due = flights.filter((flight) => flight.landsMs <= nowMs);
-    flights = flights.filter((flight) => flight.landsMs > nowMs);
-    landed.push(...due.map((flight) => flight.fence));
+  function recordArrivals(): void {
+    const due = inFlight.filter((order) => order.arrivesMs <= nowMs);
+    inFlight = inFlight.filter((order) => order.arrivesMs > nowMs);
+    arrivedFences.push(...due.map((order) => order.fence));
   }
 
   for (const step of steps) {
     nowMs += STEP_MS;
-    flightMs = step.flightMs;
+    latencyMs = step.latencyMs;
     for (const holder of holders) if (!suspended.has(holder)) holder.monotonicMs += STEP_MS;
     const holder = holders[step.holder] as Holder;
     switch (step.action) {
@@ -136,13 +136,13 @@
       default:
         break;
     }
-    for (const each of holders) runHolder(each, step.isAnswerLost && each === holder);
-    addLanded();
+    for (const each of holders) runHolder(each, step.isResponseLost && each === holder);
+    recordArrivals();
   }
-  return landed;
+  return arrivedFences;
 }
 
-function isRising(numbers: readonly number[]): boolean {
+function isNonDecreasing(numbers: readonly number[]): boolean {
   return numbers.every((number, index) => index === 0 || number >= (numbers[index - 1] ?? 0));
 }
 
@@ -153,44 +153,46 @@
     // holder's, at an engine that ignores fencing numbers.
     const property = fc.property(
       fc.array(stepArbitrary, { minLength: 40, maxLength: 160 }),
-      (steps) => isRising(runSchedule(steps)),
+      (steps) => isNonDecreasing(runSchedule(steps)),
     );
     t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 1500 }));
   });
 
-  function buildSteps(count: number, holder: number, flightMs: number): Step[] {
+  function buildSteps(count: number, holder: number, latencyMs: number): Step[] {
     return Array.from({ length: count }, () => ({
       holder,
       action: 'run',
-      isAnswerLost: false,
-      flightMs,
+      isResponseLost: false,
+      latencyMs,
     }));
   }
 
   it('waits out the last holder’s slowest order', (t) => {
     // An engine unloads the model it was just told to load. The old holder is cut off from the table,
     // orders until its lease ends, and its last order takes three seconds; the new one's takes none.
-    const lastRuns = (ORDER_LEASE.lengthMs - 1000) / STEP_MS;
-    const slowMs = ORDER_FLIGHT_MS - STEP_MS;
-    const cut: Step[] = [{ holder: 0, action: 'cut_off', isAnswerLost: false, flightMs: slowMs }];
+    const stepsBeforeExpiry = (ORDER_LEASE.lengthMs - 1000) / STEP_MS;
+    const maxLatencyMs = ORDER_FLIGHT_MS - STEP_MS;
+    const cutOffStep: Step[] = [
+      { holder: 0, action: 'cut_off', isResponseLost: false, latencyMs: maxLatencyMs },
+    ];
     for (let first = 20; first < 30; first += 1) {
       const steps = [
         ...buildSteps(first, 0, 0),
-        ...cut,
-        ...buildSteps(lastRuns, 0, slowMs),
+        ...cutOffStep,
+        ...buildSteps(stepsBeforeExpiry, 0, maxLatencyMs),
         ...buildSteps(40, 1, 0),
       ];
       const fences = runSchedule(steps);
-      t.true(isRising(fences));
+      t.true(isNonDecreasing(fences));
       t.true((fences.at(-1) ?? 0) > (fences[0] ?? 0));
     }
   });
 
   it('is taken over after a holder’s death, with a higher number', (t) => {
-    const dead: Step[] = [{ holder: 0, action: 'pause', isAnswerLost: false, flightMs: 0 }];
-    const after = buildSteps((3 * ORDER_LEASE.lengthMs) / STEP_MS, 1, 0);
-    const fences = runSchedule([...buildSteps(20, 0, 0), ...dead, ...after]);
-    t.true(isRising(fences));
+    const pauseStep: Step[] = [{ holder: 0, action: 'pause', isResponseLost: false, latencyMs: 0 }];
+    const stepsAfter = buildSteps((3 * ORDER_LEASE.lengthMs) / STEP_MS, 1, 0);
+    const fences = runSchedule([...buildSteps(20, 0, 0), ...pauseStep, ...stepsAfter]);
+    t.true(isNonDecreasing(fences));
     t.is(fences[0], 1);
     t.true((fences.at(-1) ?? 0) > (fences[0] ?? 0));
   });
--- a/src/leases/lease.ts
+++ b/src/leases/lease.ts
@@ -11,9 +11,9 @@
 import type { LeaseDocument, ReadLease } from './lease-document.js';
 
 /** Former holders that a document names. */
-const EARLIER_MAX = 4;
+const EARLIER_HOLDERS_MAX = 4;
 /** Writes without an answer that are remembered: each may take effect late. */
-const UNANSWERED_MAX = 8;
+const UNACKNOWLEDGED_WRITES_MAX = 8;
 
 /** The clocks at one moment. */
 export interface Moment {
@@ -22,7 +22,7 @@
 }
 
 /** How a write ended. */
-export type WriteEnding =
+export type WriteResult =
   /** `version`: the document's, now. */
   | { readonly kind: 'written'; readonly version: number }
   /** The document was at another version; `lease`: as it is, where the store says. */
@@ -40,7 +40,7 @@
       readonly lease: ReadLease | undefined;
       readonly newestVersion: number;
     }
-  | { readonly kind: 'written'; readonly writeId: string; readonly ending: WriteEnding }
+  | { readonly kind: 'written'; readonly writeId: string; readonly ending: WriteResult }
   /** The process did not run, or its clocks parted. */
   | { readonly kind: 'paused' };
 
@@ -63,7 +63,7 @@
   /** Undefined where nothing may be begun. */
   getGrant(now: Moment): Grant | undefined;
   /** The document that was seen last. */
-  getSeen(): LeaseDocument | undefined;
+  getLastDocument(): LeaseDocument | undefined;
 }
 
 /** What an instance's part is built on. */
@@ -79,51 +79,51 @@
   readonly drawDelay?: () => number;
 }
 
-interface Write {
+interface SentWrite {
   readonly document: LeaseDocument;
   readonly expectedVersion: number;
   /** On the monotonic clock; long ago where that clock may have stood still since. */
   readonly sentMs: number;
 }
 
-interface Held {
+interface HeldLease {
   readonly fence: number;
-  readonly sinceMs: number;
+  readonly grantedMs: number;
   readonly usableFromMs: number;
 }
 
-interface Seen {
+interface ObservedLease {
   readonly lease: ReadLease;
-  readonly sinceMs: number;
+  readonly observedMs: number;
   /** Drawn for each document, so that those who wait do not ask at one moment. */
-  readonly delayMs: number;
+  readonly jitterMs: number;
 }
 
 /** Builds an instance's part in a lease that it does not hold. */
 export function createLease({
   holder,
-  bounds,
+  bounds: timings,
   createWriteId,
-  drawDelay = () => 0,
+  drawDelay: computeJitter = () => 0,
 }: LeaseOptions): Lease {
-  let seen: Seen | undefined;
+  let observed: ObservedLease | undefined;
   let absentSinceMs: number | undefined;
   let newestVersion = 0;
-  let pending: Write | undefined;
-  let unanswered: Write[] = [];
-  let held: Held | undefined;
-  let readMs = -Infinity;
+  let pending: SentWrite | undefined;
+  let unacknowledged: SentWrite[] = [];
+  let held: HeldLease | undefined;
+  let lastReadMs = -Infinity;
   /** When a reading last found no document. */
-  let answeredMs = -Infinity;
-  let writtenMs = -Infinity;
+  let lastAbsentReadMs = -Infinity;
+  let lastWriteMs = -Infinity;
   let commands: LeaseCommand[] = [];
   /** Of the wall clock from the monotonic one, at the last look. */
-  let clockDifferenceMs: number | undefined;
+  let clockOffsetMs: number | undefined;
 
-  function computeLeft(now: Moment): number {
+  function computeRemainingMs(now: Moment): number {
     if (held === undefined) return 0;
-    const age = now.monotonicMs - held.sinceMs;
-    return bounds.lengthMs - bounds.safetyMs - age;
+    const ageMs = now.monotonicMs - held.grantedMs;
+    return timings.lengthMs - timings.safetyMs - ageMs;
   }
 
   /**
@@ -131,14 +131,14 @@
    * clock says too little, and a later step of the time of day would hide it again.
    */
   function checkClocks(now: Moment): void {
-    const differenceMs = now.wallMs - now.monotonicMs;
-    const driftMs = Math.abs(differenceMs - (clockDifferenceMs ?? differenceMs));
-    clockDifferenceMs = differenceMs;
-    if (driftMs > bounds.safetyMs / 2) handlePaused();
+    const offsetMs = now.wallMs - now.monotonicMs;
+    const driftMs = Math.abs(offsetMs - (clockOffsetMs ?? offsetMs));
+    clockOffsetMs = offsetMs;
+    if (driftMs > timings.safetyMs / 2) handlePaused();
   }
 
   function postRead(now: Moment): void {
-    readMs = now.monotonicMs;
+    lastReadMs = now.monotonicMs;
     commands.push({ kind: 'read' });
   }
 
@@ -147,13 +147,13 @@
     now: Moment,
   ): void {
     const document: LeaseDocument = { holder, writeId: createWriteId(), ...fields };
-    pending = { document, expectedVersion: seen?.lease.version ?? 0, sentMs: now.monotonicMs };
-    writtenMs = now.monotonicMs;
+    pending = { document, expectedVersion: observed?.lease.version ?? 0, sentMs: now.monotonicMs };
+    lastWriteMs = now.monotonicMs;
     commands.push({ kind: 'write', document, expectedVersion: pending.expectedVersion });
   }
 
   function postRenewal(fence: number, isReleased: boolean, now: Moment): void {
-    postWrite({ fence, earlier: seen?.lease.document.earlier ?? [], isReleased }, now);
+    postWrite({ fence, earlier: observed?.lease.document.earlier ?? [], isReleased }, now);
   }
 
   /**
@@ -161,10 +161,10 @@
    * that begin anew after the document was lost: engines and others would take old orders for new ones.
    */
   function postTakeover(now: Moment): void {
-    const before = seen?.lease.document;
-    const fence = Math.max(newestVersion, seen?.lease.version ?? 0, before?.fence ?? 0) + 1;
-    const earlier = before === undefined ? [] : [before.holder, ...before.earlier];
-    postWrite({ fence, earlier: earlier.slice(0, EARLIER_MAX), isReleased: false }, now);
+    const previous = observed?.lease.document;
+    const fence = Math.max(newestVersion, observed?.lease.version ?? 0, previous?.fence ?? 0) + 1;
+    const earlier = previous === undefined ? [] : [previous.holder, ...previous.earlier];
+    postWrite({ fence, earlier: earlier.slice(0, EARLIER_HOLDERS_MAX), isReleased: false }, now);
   }
 
   /**
@@ -173,124 +173,130 @@
    * outside sees two holders at one time.
    */
   function isFree(now: Moment): boolean {
-    if (seen === undefined) {
-      const absentMs = answeredMs - (absentSinceMs ?? Infinity);
-      return absentMs >= bounds.absentMs && now.monotonicMs - answeredMs <= bounds.readMs;
+    if (observed === undefined) {
+      const absentMs = lastAbsentReadMs - (absentSinceMs ?? Infinity);
+      return absentMs >= timings.absentMs && now.monotonicMs - lastAbsentReadMs <= timings.readMs;
     }
-    const { document } = seen.lease;
-    const isHandedOn =
+    const { document } = observed.lease;
+    const isReleasedByOther =
       document.isReleased && document.holder !== holder && !document.earlier.includes(holder);
-    if (isHandedOn) return true;
-    const lapsesAfterMs = bounds.lengthMs + bounds.lapseMarginMs;
-    return now.monotonicMs - seen.sinceMs > lapsesAfterMs + seen.delayMs;
+    if (isReleasedByOther) return true;
+    const expiryMs = timings.lengthMs + timings.lapseMarginMs;
+    return now.monotonicMs - observed.observedMs > expiryMs + observed.jitterMs;
   }
 
-  function removeOverdue(now: Moment): void {
+  function checkWriteTimeout(now: Moment): void {
     if (pending === undefined) return;
-    if (now.monotonicMs - pending.sentMs < bounds.callTimeoutMs) return;
-    unanswered = [pending, ...unanswered].slice(0, UNANSWERED_MAX);
+    if (now.monotonicMs - pending.sentMs < timings.callTimeoutMs) return;
+    unacknowledged = [pending, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
     pending = undefined;
     postRead(now);
   }
 
-  function postRelease({ fence }: Held, now: Moment): void {
+  function postRelease({ fence }: HeldLease, now: Moment): void {
     held = undefined;
     postRenewal(fence, true, now);
   }
 
-  function advanceHeld({ fence }: Held, now: Moment): void {
-    const isDue = now.monotonicMs - writtenMs >= bounds.renewMs;
-    if (isDue && seen !== undefined) postRenewal(fence, false, now);
-    else if (computeLeft(now) <= 0 && now.monotonicMs - readMs >= bounds.readMs) postRead(now);
+  function advanceHeld({ fence }: HeldLease, now: Moment): void {
+    const isDue = now.monotonicMs - lastWriteMs >= timings.renewMs;
+    if (isDue && observed !== undefined) postRenewal(fence, false, now);
+    else if (computeRemainingMs(now) <= 0 && now.monotonicMs - lastReadMs >= timings.readMs)
+      postRead(now);
   }
 
   function handleTick(isWanted: boolean, now: Moment): void {
-    removeOverdue(now);
+    checkWriteTimeout(now);
     if (pending !== undefined) return;
     if (held !== undefined) {
       if (isWanted) advanceHeld(held, now);
       else postRelease(held, now);
     } else if (isWanted && isFree(now)) postTakeover(now);
-    else if (isWanted && now.monotonicMs - readMs >= bounds.readMs) postRead(now);
+    else if (isWanted && now.monotonicMs - lastReadMs >= timings.readMs) postRead(now);
   }
 
-  function recordSeen(lease: ReadLease, now: Moment): void {
+  function recordObserved(lease: ReadLease, now: Moment): void {
     absentSinceMs = undefined;
     // An older version is a stale read: taking it for a change would only delay a takeover.
-    if (seen !== undefined && lease.version <= seen.lease.version) return;
-    seen = { lease, sinceMs: now.monotonicMs, delayMs: drawDelay() * bounds.readMs };
+    if (observed !== undefined && lease.version <= observed.lease.version) return;
+    observed = { lease, observedMs: now.monotonicMs, jitterMs: computeJitter() * timings.readMs };
   }
 
-  function setHeld({ document, expectedVersion, sentMs }: Write, now: Moment): void {
+  function setHeld({ document, expectedVersion, sentMs }: SentWrite, now: Moment): void {
     if (document.isReleased) return;
     const isRenewal = held?.fence === document.fence;
-    const settlingMs = expectedVersion === 0 ? 0 : bounds.settlingMs;
+    const takeoverDelayMs = expectedVersion === 0 ? 0 : timings.settlingMs;
     held = {
       fence: document.fence,
-      sinceMs: sentMs,
+      grantedMs: sentMs,
       // Guards against an order of the last holder still on its way to an engine that ignores
       // fencing numbers: it shows as an old order undoing a new one. By then it has arrived.
-      usableFromMs: isRenewal ? (held?.usableFromMs ?? 0) : now.monotonicMs + settlingMs,
+      usableFromMs: isRenewal ? (held?.usableFromMs ?? 0) : now.monotonicMs + takeoverDelayMs,
     };
   }
 
   /** Takes a document as the newest; one that this instance wrote without an answer is its own. */
-  function handleLease(lease: ReadLease, now: Moment): void {
-    const isNews = seen === undefined || lease.version > seen.lease.version;
-    recordSeen(lease, now);
-    if (!isNews) return;
-    const own = unanswered.find(({ document }) => document.writeId === lease.document.writeId);
-    if (own !== undefined) setHeld(own, now);
+  function handleDocument(lease: ReadLease, now: Moment): void {
+    const isNewer = observed === undefined || lease.version > observed.lease.version;
+    recordObserved(lease, now);
+    if (!isNewer) return;
+    const ownWrite = unacknowledged.find(
+      ({ document }) => document.writeId === lease.document.writeId,
+    );
+    if (ownWrite !== undefined) setHeld(ownWrite, now);
     else if (lease.document.fence !== held?.fence) held = undefined;
   }
 
   function handleWritten(
-    { writeId, ending }: Extract<LeaseMessage, { kind: 'written' }>,
+    { writeId, ending: result }: Extract<LeaseMessage, { kind: 'written' }>,
     now: Moment,
   ): void {
     if (pending?.document.writeId !== writeId) return;
     const write = pending;
     pending = undefined;
-    switch (ending.kind) {
+    switch (result.kind) {
       case 'written':
-        recordSeen({ version: ending.version, document: write.document }, now);
+        recordObserved({ version: result.version, document: write.document }, now);
         setHeld(write, now);
         break;
       case 'conflict':
-        if (ending.lease === undefined) postRead(now);
-        else handleLease(ending.lease, now);
+        if (result.lease === undefined) postRead(now);
+        else handleDocument(result.lease, now);
         break;
       case 'lost':
-        unanswered = [write, ...unanswered].slice(0, UNANSWERED_MAX);
+        unacknowledged = [write, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
         postRead(now);
         break;
       default:
-        assertNever(ending);
+        assertNever(result);
     }
   }
 
   function handleRead(message: Extract<LeaseMessage, { kind: 'read' }>, now: Moment): void {
     newestVersion = Math.max(newestVersion, message.newestVersion);
     if (message.lease !== undefined) {
-      handleLease(message.lease, now);
+      handleDocument(message.lease, now);
       return;
     }
     // A document that is gone belongs to nobody; a read that lags behind an own write says nothing.
-    if (seen !== undefined && message.newestVersion <= seen.lease.version) return;
+    if (observed !== undefined && message.newestVersion <= observed.lease.version) return;
     // What was read before a time without any answer says nothing of that time.
-    const isContinued = now.monotonicMs - answeredMs <= 2 * bounds.readMs + bounds.callTimeoutMs;
-    if (!isContinued || absentSinceMs === undefined) absentSinceMs = now.monotonicMs;
-    answeredMs = now.monotonicMs;
-    seen = undefined;
+    const isContinuous =
+      now.monotonicMs - lastAbsentReadMs <= 2 * timings.readMs + timings.callTimeoutMs;
+    if (!isContinuous || absentSinceMs === undefined) absentSinceMs = now.monotonicMs;
+    lastAbsentReadMs = now.monotonicMs;
+    observed = undefined;
     held = undefined;
   }
 
   function handlePaused(): void {
     // What was on its way belongs to the time before: it may have been done, or may be done later.
-    const writes = pending === undefined ? unanswered : [pending, ...unanswered];
-    unanswered = writes.slice(0, UNANSWERED_MAX).map((write) => ({ ...write, sentMs: -Infinity }));
+    const writes = pending === undefined ? unacknowledged : [pending, ...unacknowledged];
+    unacknowledged = writes
+      .slice(0, UNACKNOWLEDGED_WRITES_MAX)
+      .map((write) => ({ ...write, sentMs: -Infinity }));
     pending = undefined;
-    if (held !== undefined) held = { ...held, sinceMs: -Infinity };
+    if (held !== undefined) held = { ...held, grantedMs: -Infinity };
   }
 
   return {
@@ -318,9 +324,9 @@
     getGrant(now) {
       checkClocks(now);
       if (held === undefined || now.monotonicMs < held.usableFromMs) return undefined;
-      const leftMs = computeLeft(now);
-      return leftMs > 0 ? { fence: held.fence, leftMs } : undefined;
+      const remainingMs = computeRemainingMs(now);
+      return remainingMs > 0 ? { fence: held.fence, leftMs: remainingMs } : undefined;
     },
-    getSeen: () => seen?.lease.document,
+    getLastDocument: () => observed?.lease.document,
   };
 }
