--- a/src/duties/duty-api.ts
+++ b/src/duties/duty-api.ts
@@ -1,18 +1,16 @@
-/** The operators' view of the fleet's duties over HTTP: who holds them, and how to have it step down. */
+/** HTTP routes for operators: show who holds the duties, and make the holder step down. */
 import express from 'express';
 import type { RequestHandler, Router } from 'express';
 import type { DutyStatus } from './fleet-duties.js';
 
-/** What the view shows and sets off. */
 export interface DutyApiOptions {
   readonly checkOperator: RequestHandler;
-  /** Undefined where there are no duties. */
+  /** Undefined if no duties are configured. */
   readonly getStatus: () => DutyStatus | undefined;
-  /** False where this instance does not hold them. */
+  /** False if this instance does not hold the duties. */
   readonly release: () => boolean;
 }
 
-/** Builds the routes. */
 export function createDutyApi(options: DutyApiOptions): Router {
   const router = express.Router();
   router.get('/duties', options.checkOperator, (_, response) => {
--- a/src/duties/duty-calls.ts
+++ b/src/duties/duty-calls.ts
@@ -1,40 +1,43 @@
-/** The platform's calls that one instance makes for the fleet. */
+/** Calls to the platform that one instance makes on behalf of the fleet. */
 import type { Grant } from '../leases/lease.js';
 import type { UsageCount } from './usage-ledger.js';
 
-/** The counts of one window, fixed for good. */
+/** Final counts of one window. */
 export interface UsageReport {
   readonly window: number;
   readonly counts: readonly UsageCount[];
 }
 
-/** So many endpoints of a pool in a data centre. */
+/** Desired number of endpoints of a pool in a data centre. */
 export interface ScaleRequest {
   readonly pool: string;
   readonly dataCentre: string;
-  /** Of those that may be taken back at any time, or of the others. */
+  /** Whether the endpoints are spot capacity, which the platform may reclaim at any time. */
   readonly isSpot: boolean;
   readonly count: number;
 }
 
-/** How a call ended. */
+/** Outcome of a call. */
 export const DUTY_OUTCOME = {
   Done: 'done',
-  /** There is no room for it now. */
+  /** The platform has no capacity at the moment. */
   Unavailable: 'unavailable',
-  /** It was turned away; it may be tried later. */
+  /** The call was refused and may be retried. */
   Rejected: 'rejected',
-  /** No answer: it may have been done. */
+  /** No response: the call may have been carried out. */
   Lost: 'lost',
-  /** The lease did not allow it when the connection was made. */
+  /** The instance no longer held the lease when the connection was established. */
   NotAllowed: 'not_allowed',
 } as const;
 export type DutyOutcome = (typeof DUTY_OUTCOME)[keyof typeof DUTY_OUTCOME];
 
-/** Asked once the connection stands, right before the first byte is written: undefined forbids the call. */
+/**
+ * Called on an established connection right before the first byte is written; undefined cancels the
+ * call.
+ */
 export type CallGuard = () => Grant | undefined;
 
-/** The calls; none rejects. */
+/** Neither promise rejects. */
 export interface DutyCalls {
   sendUsage(report: UsageReport, guard: CallGuard): Promise<DutyOutcome>;
   sendOrder(request: ScaleRequest, guard: CallGuard): Promise<DutyOutcome>;
--- a/src/duties/duty-rows.ts
+++ b/src/duties/duty-rows.ts
@@ -1,4 +1,4 @@
-/** The documents of the lease and of the agreed moment. */
+/** Encoding of the lease and epoch documents. */
 import { z } from 'zod';
 import type { LeaseDocument, ReadLease } from '../leases/lease-document.js';
 import { DUTY_KEY, findRow } from './duty-store.js';
@@ -17,12 +17,12 @@
   try {
     return schema.safeParse(JSON.parse(text)).data;
   } catch {
-    // What is no document of this product says nothing.
+    // Treated as missing if malformed.
     return undefined;
   }
 }
 
-/** What stands for a document that nobody can read: nobody's, and replaced once it has stood for a lease. */
+/** Replaces a malformed document: it has no holder and expires after the lease duration. */
 const UNREADABLE_LEASE: LeaseDocument = {
   holder: '',
   fence: 0,
@@ -31,19 +31,19 @@
   isReleased: false,
 };
 
-/** Reads the lease; undefined where there is none. */
+/** Undefined if there is no lease document. */
 export function decodeLease(rows: readonly DutyRow[]): ReadLease | undefined {
   const row = findRow(rows, DUTY_KEY.Lease);
   if (row === undefined) return undefined;
   return { version: row.version, document: parseText(LEASE_SCHEMA, row.text) ?? UNREADABLE_LEASE };
 }
 
-/** Writes down true time at 0 of the source's clock, in milliseconds since the epoch. */
+/** Encodes fleet time at 0 of the source clock, in milliseconds since the epoch. */
 export function encodeEpoch(epochMs: number): string {
   return JSON.stringify({ epochMs });
 }
 
-/** Reads it; undefined where the text says none. */
+/** Undefined if the text is malformed. */
 export function decodeEpoch(text: string): number | undefined {
   return parseText(EPOCH_SCHEMA, text)?.epochMs;
 }
--- a/src/duties/duty-store.ts
+++ b/src/duties/duty-store.ts
@@ -1,60 +1,59 @@
-/** Where what duties agree on is kept: documents under keys, written under conditions, all or none. */
+/**
+ * Shared state of the duties: versioned documents with conditional, atomic multi-document writes.
+ */
 
-/** Keys of the documents. */
 export const DUTY_KEY = {
   Lease: 'lease',
-  /** The moment of the source's clock that the fleet has agreed on. */
+  /** Fleet time at 0 of the source clock. */
   Epoch: 'epoch',
-  /** What was ordered last. */
+  /** The scale requests last decided on. */
   Orders: 'orders',
-  /** The newest window of usage whose counts are fixed. */
+  /** The newest usage window whose counts are committed. */
   UsageThrough: 'usage-through',
 } as const;
 
-/** Keys of fixed counts that are not reported yet begin so. */
+/** Key prefix of committed counts that are not reported yet. */
 export const USAGE_PREFIX = 'usage/';
 
-/** A document as it is kept. */
+/** A stored document. */
 export interface DutyRow {
   readonly key: string;
   readonly version: number;
   readonly text: string;
 }
 
-/** Every document as of one moment. */
+/** All documents at one point in time. */
 export interface DutySnapshot {
   readonly rows: readonly DutyRow[];
-  /** Nothing in the store is newer. */
+  /** Upper bound of the versions of all documents. */
   readonly newestVersion: number;
-  /** The store's steady clock when it answered. */
+  /** The store's monotonic clock at the time of the response. */
   readonly sourceMs: number;
 }
 
-/** A change of several documents. */
+/** A conditional write of several documents. */
 export interface DutyChange {
-  /** Versions that documents must have; 0 where there must be none. */
+  /** Required versions; 0 requires that the document does not exist. */
   readonly expected: readonly { readonly key: string; readonly version: number }[];
   readonly writes: readonly { readonly key: string; readonly text: string }[];
   readonly removes: readonly string[];
 }
 
-/** What became of a change. */
+/** Outcome of a change. */
 export type DutyWriteResult =
-  /** `version`: of all documents that it wrote. */
+  /** `version`: shared by all documents written. */
   | { readonly kind: 'written'; readonly version: number }
-  /** `rows`: the expected documents as they are. */
+  /** `rows`: the current documents among those expected. */
   | { readonly kind: 'conflict'; readonly rows: readonly DutyRow[] }
-  /** No answer: it may have been done, or may be done later. */
+  /** No response: the change may have been applied, or may still be. */
   | { readonly kind: 'lost' };
 
-/** The store. */
 export interface DutyStore {
-  /** Undefined where it does not answer. */
+  /** Undefined if the store does not respond. */
   read(): Promise<DutySnapshot | undefined>;
   write(change: DutyChange): Promise<DutyWriteResult>;
 }
 
-/** Finds a document. */
 export function findRow(rows: readonly DutyRow[], key: string): DutyRow | undefined {
   return rows.find((row) => row.key === key);
 }
--- a/src/duties/fleet-duties.ts
+++ b/src/duties/fleet-duties.ts
@@ -1,6 +1,6 @@
 /**
- * The work that one instance does for the fleet: holds the lease with the others, and while this instance
- * has it, reports usage and orders endpoints.
+ * Runs the tasks that exactly one instance performs for the fleet. All candidates compete for a
+ * lease; its holder reports usage and requests endpoints.
  */
 import { createLease } from '../leases/lease.js';
 import type { Grant, LeaseCommand, LeaseMessage, Moment } from '../leases/lease.js';
@@ -22,18 +22,23 @@
 import { createUsageReporter } from './usage-reporter.js';
 import type { UsageCommand, UsageMessage } from './usage-reporter.js';
 
-/** The lease is looked at this often, in milliseconds. */
+/** Interval at which the lease is checked, in milliseconds. */
 const TICK_MS = 100;
-/** Whether this instance may hold the lease counts once it has been so for this long, in milliseconds: who starts learns of the fleet one by one. */
+/**
+ * A change of candidacy takes effect after this time, in milliseconds, because a starting instance
+ * discovers the others one by one.
+ */
 const CANDIDACY_STABLE_MS = 1000;
-/** Calls in a row without an answer after which the lease is given up: another instance may reach the platform. */
+/**
+ * Consecutive calls without a response after which the lease is released, since another instance
+ * may reach the platform.
+ */
 const UNANSWERED_CALLS_MAX = 3;
-/** Who gave it up wants it again after this long, in milliseconds. */
+/** Time before an instance that stepped down competes again, in milliseconds. */
 const STEP_DOWN_MS = 10_000;
 
-/** What the duties are built on. */
 export interface FleetDutiesOptions {
-  /** The machine. */
+  /** Machine name. */
   readonly self: string;
   readonly timers: TimerService;
   readonly random: Random;
@@ -42,39 +47,40 @@
   readonly observer: DutyObserver;
   readonly time: TrueTime;
   readonly meter: UsageMeter;
-  /** How long a lease is held, in milliseconds. */
+  /** Lease duration, in milliseconds. */
   readonly leaseMs: number;
-  /** The whole fleet starts for the first time: nobody can have held the lease before. */
+  /** On the first start of the whole fleet no earlier holder can exist. */
   readonly isFirstStart: boolean;
-  /** How long a window of usage is and when after its end its report is due, in milliseconds; undefined where nobody reports. */
+  /**
+   * Length of a usage window and the reporting deadline after its end, in milliseconds; undefined
+   * disables reports.
+   */
   readonly usage: { readonly windowMs: number; readonly dueMs: number } | undefined;
   readonly ordersPools: boolean;
-  /** Whether this instance is one of those that take the lease. */
+  /** Whether this instance may compete for the lease. */
   readonly isCandidate: () => boolean;
   readonly isLeaving: () => boolean;
   readonly listPools: () => readonly SizedPool[];
   readonly getKnowledgeAge: () => number;
 }
 
-/** Who holds the duties, as this instance knows. */
+/** The holder of the duties as observed by this instance. */
 export interface DutyStatus {
   readonly holder: string | undefined;
   readonly fence: number;
   readonly isOwn: boolean;
-  /** Since the holder changed, as this instance saw it, in milliseconds. */
+  /** Time since this instance observed the holder, in milliseconds. */
   readonly ageMs: number;
   readonly unsentWindows: number;
   readonly desired: readonly ScaleRequest[];
 }
 
-/** The duties of one instance. */
 export interface FleetDuties {
   getStatus(): DutyStatus;
-  /** Gives the lease up for a while; false where this instance does not hold it. */
+  /** Steps down for a while; false if this instance does not hold the lease. */
   release(): boolean;
 }
 
-/** Starts taking part. */
 export function createFleetDuties(options: FleetDutiesOptions): FleetDuties {
   const { self, timers, random, store, calls, observer, time, meter } = options;
   let writeCount = 0;
@@ -95,7 +101,7 @@
     isComplete: (fleetMs) => meter.isComplete(fleetMs, getNow()),
   });
   const scaler = createPoolScaler();
-  /** Whether this instance may hold the lease, and when it was last seen to be so. */
+  /** Whether this instance is a candidate, and when that was last confirmed. */
   let candidate = { isWanted: false, sinceMs: timers.clock.monotonicMs() };
   let inFlight = 0;
   let unansweredInRow = 0;
@@ -112,7 +118,9 @@
   });
   const getGrant = (): Grant | undefined => lease.getGrant(readClocks());
 
-  /** What the fleet last agreed on for a while: taking and giving up the lease by turns would do nobody's work. */
+  /**
+   * Debounces candidacy, so that the lease does not move back and forth while membership changes.
+   */
   function isStableCandidate(): boolean {
     const nowMs = getNow();
     const isCandidate = options.isCandidate();
@@ -123,7 +131,7 @@
     return candidate.isWanted;
   }
 
-  /** Whether this instance would take up something new. */
+  /** Whether this instance should hold the lease. */
   function isEligible(): boolean {
     return isStableCandidate() && !options.isLeaving() && getNow() >= ineligibleUntilMs;
   }
@@ -181,7 +189,8 @@
       removes: [],
     });
     handleLease({ kind: 'written', writeId: document.writeId, ending: buildWriteResult(write) });
-    // Guards against a suspension that the clocks hide: what is begun now was allowed a moment ago.
+    // Guards against a suspension that neither clock shows: calls start only right after a
+    // confirmed write.
     if (write.kind === 'written' && !document.isReleased) advanceDuties();
   }
 
@@ -202,7 +211,7 @@
     task.catch((error: unknown) => observer.onFailed(String(error)));
   }
 
-  /** Agrees on a moment of the source's clock; whoever is first decides for good. */
+  /** Proposes an epoch; the first proposal stored is final. */
   async function writeEpoch(): Promise<void> {
     const sourceMs = time.computeSourceTime(getNow());
     if (sourceMs === undefined) {
@@ -326,7 +335,7 @@
   }
 
   timers.subscribe(TICK_MS, () => {
-    // While a call is on its way the lease is kept, whoever wants it.
+    // The lease is kept while a call is in flight.
     handleLease({ kind: 'tick', isWanted: isEligible() || (isActing && inFlight > 0) });
   });
 
--- a/src/duties/pool-orders.test.ts
+++ b/src/duties/pool-orders.test.ts
@@ -13,7 +13,7 @@
   spotPrice: 0.2,
 };
 
-/** A platform that carries out what it is told, at once. */
+/** A platform that carries out each request at once. */
 function createHarness(rows: DutyRow[] = []) {
   const scaler = createPoolScaler();
   const sent: ScaleRequest[] = [];
@@ -69,7 +69,7 @@
     setOutcome(next: DutyOutcome) {
       outcome = next;
     },
-    /** Passes time, a tick each second. */
+    /** Advances time with one tick per second. */
     advance(seconds: number, knowledgeAgeMs = 0, backlogMs = 0) {
       for (let second = 0; second < seconds; second += 1) {
         nowMs += 1000;
@@ -92,7 +92,7 @@
     t.true(all - (counts.get('a|true') ?? 0) >= 20);
   });
 
-  // Guards against a pool that is ordered up and down with each change of holder.
+  // Guards against a pool being resized at each change of holder.
   it('are the same under the next holder', (t) => {
     const first = createHarness();
     first.advance(30);
@@ -135,7 +135,7 @@
     t.is(sent.length, before);
   });
 
-  // Guards against a pool that shrinks because nobody can tell how it is.
+  // Guards against shrinking a pool on outdated information.
   it('take nothing away on knowledge that is old', (t) => {
     const { counts, advance } = createHarness();
     advance(2);
--- a/src/duties/pool-orders.ts
+++ b/src/duties/pool-orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders endpoints of pools as the sizing says, keeps what was ordered where the next holder finds it, and
- * repeats what was not taken. Free of I/O.
+ * Requests endpoints for pools as sized, stores the requests for the next holder, and retries those
+ * that were not accepted. Performs no I/O.
  */
 import { z } from 'zod';
 import type { ScalingBounds } from '../types/traffic.js';
@@ -12,19 +12,22 @@
 import { computeDesired, computeRequiredCount } from './pool-sizing.js';
 import type { PoolPresence, SizingInput } from './pool-sizing.js';
 
-/** A pool is not ordered for before its endpoints have been the same for this long, in milliseconds: a fleet that starts hears of them one after the other. */
+/**
+ * A pool is sized once its endpoint count has been stable for this time, in milliseconds, because a
+ * starting fleet discovers endpoints one by one.
+ */
 const COUNT_STABLE_MS = 900;
-/** A need that is over is kept for this long, in milliseconds: crowds come again. */
+/** Time for which a higher required count is kept after load drops, in milliseconds. */
 const SCALE_DOWN_DELAY_MS = 60_000;
-/** Room that is not to be had is asked for again after this long, in milliseconds, and a call that was turned away after the shorter time. */
+/** Retry delays after an unavailable or rejected request, in milliseconds. */
 const UNAVAILABLE_RETRY_MS = 3000;
 const REJECTED_RETRY_MS = 1000;
-/** An endpoint that is not there this long after it should serve is ordered again, in milliseconds. */
+/** Endpoints missing this long after their boot time are requested again, in milliseconds. */
 const BOOT_GRACE_MS = 2000;
-/** Knowledge older than this, in milliseconds, orders nothing down. */
+/** No count is lowered on information older than this, in milliseconds. */
 const KNOWLEDGE_AGE_MAX_MS = 4000;
 
-/** A pool as the holder sees it. */
+/** Load and running endpoints of a pool. */
 export interface SizedPool {
   readonly pool: string;
   readonly scaling: ScalingBounds;
@@ -33,7 +36,7 @@
   readonly targetMs: number;
 }
 
-/** What orders are told. */
+/** Input to the scaler. */
 export type ScalerMessage =
   | {
       readonly kind: 'tick';
@@ -45,16 +48,15 @@
   | { readonly kind: 'sent'; readonly request: ScaleRequest; readonly outcome: DutyOutcome }
   | { readonly kind: 'lost' };
 
-/** What orders ask for. */
+/** Requests from the scaler to its caller. */
 export type ScalerCommand =
   | { readonly kind: 'read' }
   | { readonly kind: 'change'; readonly change: DutyChange }
   | { readonly kind: 'send'; readonly request: ScaleRequest };
 
-/** The orders of one holder. */
+/** Scales all pools while this instance holds the lease. */
 export interface PoolScaler {
   handle(message: ScalerMessage, nowMs: number): ScalerCommand[];
-  /** What is to be there. */
   listDesired(): ScaleRequest[];
 }
 
@@ -83,7 +85,7 @@
   baseline: number | undefined;
   peakCount: number;
   peakSinceMs: number;
-  /** How many there were, and since when. */
+  /** The running count last observed, and since when. */
   lastCount: number;
   lastCountSinceMs: number;
   readonly targets: Map<string, Target>;
@@ -98,21 +100,20 @@
   try {
     return DOCUMENT_SCHEMA.safeParse(JSON.parse(row.text)).data?.pools ?? [];
   } catch {
-    // A document of another writer is replaced by the first order.
+    // A malformed document is overwritten by the next change.
     return [];
   }
 }
 
-/** Builds orders that have read nothing. */
 export function createPoolScaler(): PoolScaler {
   const states = new Map<string, PoolState>();
   let version: number | undefined;
   let isReading = false;
   let pendingChange: DutyChange | undefined;
-  /** Changes of what is wanted, and those that the change under way keeps. */
+  /** Incremented with each change of a target; the pending change stores `pendingRevision`. */
   let targetsRevision = 0;
   let pendingRevision = 0;
-  /** Whether what is wanted stands in the store. */
+  /** Whether the store holds the current targets. */
   let isStored = true;
 
   function getState(pool: string, nowMs: number): PoolState {
@@ -145,7 +146,7 @@
     state.peakCount = requiredCount;
   }
 
-  /** Whether the pool's endpoints are known well enough; the first that are make the least. */
+  /** Whether the endpoint count is stable; the first stable count becomes the baseline. */
   function isStable(state: PoolState, running: readonly PoolPresence[], nowMs: number): boolean {
     if (state.baseline !== undefined) return true;
     const count = countRunning(running);
@@ -158,7 +159,7 @@
     return true;
   }
 
-  /** What was taken back, or never came, is asked for again once it should be there. */
+  /** Requests endpoints again that were reclaimed or never started. */
   function updateAccepted(
     state: PoolState,
     { scaling, present: running }: SizedPool,
@@ -173,7 +174,10 @@
     }
   }
 
-  /** An instance that knows no pool at all has not read the configuration yet. */
+  /**
+   * Drops pools that are no longer configured. An empty list means that the configuration is not
+   * loaded yet.
+   */
   function removeUndeclared(pools: readonly SizedPool[]): void {
     if (pools.length === 0) return;
     const declared = new Set(pools.map(({ pool }) => pool));
@@ -258,7 +262,10 @@
     return sendDue(nowMs);
   }
 
-  /** What stands in the store was wanted by a holder before; whether it was taken nobody knows. */
+  /**
+   * Restores the targets of the previous holder, all to be requested again since their outcome is
+   * unknown.
+   */
   function handleRead(rows: readonly DutyRow[], nowMs: number): void {
     isReading = false;
     const row = findRow(rows, DUTY_KEY.Orders);
@@ -271,7 +278,7 @@
     isStored = true;
   }
 
-  /** An answer to a change of an earlier time as holder says nothing of the one under way. */
+  /** Ignores results of changes made in an earlier term as holder. */
   function handleChanged(
     { change, write }: Extract<ScalerMessage, { kind: 'changed' }>,
     nowMs: number,
--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -28,7 +28,7 @@
   };
 }
 
-/** What comes of orders that are all carried out, until nothing changes. */
+/** Carries out the desired counts until they no longer change. */
 function runUntilStable(input: SizingInput): readonly PoolPresence[] {
   let { present: running } = input;
   for (let round = 0; round < 20; round += 1)
@@ -58,7 +58,8 @@
     t.is(first?.spot, 14);
   });
 
-  // Guards against a pool too small for a crowd, or for its usual load once a data centre's are taken back.
+  // Guards against a pool too small for a load peak, or for normal load after the loss of one data
+  // centre's spot capacity.
   it('is a third larger than declared even without any data centre’s endpoints that may go', (t) => {
     const running = runUntilStable(buildInput({}));
     for (const lost of running) t.true(countAll(running) - lost.spot >= 56);
--- a/src/duties/pool-sizing.ts
+++ b/src/duties/pool-sizing.ts
@@ -1,50 +1,48 @@
 /**
- * Decides how many endpoints of a pool there are to be in each data centre, free of I/O.
+ * Computes the desired endpoint count of a pool per data centre. Performs no I/O.
  *
- * The load it answers: crowds of two to three times the usual come for a few seconds, and an endpoint that
- * is ordered serves seconds later, with nothing in its memory: what is ordered on proof comes too late. So
- * room is kept ahead, with endpoints that cost a part of the others' price and may be taken back, those of
- * a data centre all at once: so many that any data centre's may go and there is still that room.
+ * New endpoints take seconds to start, and start with empty caches, which is too late for short
+ * load peaks. The pool therefore keeps headroom in cheaper spot capacity, enough to lose that of
+ * any one data centre.
  */
 import type { ScalingBounds } from '../types/traffic.js';
 
-/** The pool is kept this many times as large as declared. */
+/** Size of the pool relative to its baseline. */
 const HEADROOM_FACTOR = 4 / 3;
-/** Part of the pool that is never made of endpoints that may be taken back. */
+/** Minimum share of the baseline kept as on-demand endpoints. */
 const ON_DEMAND_SHARE_MIN = 0.15;
-/** Where prompts would wait this part of the tightest target to be read, the pool is too small. */
+/** The pool grows when prompts wait longer than this share of the tightest latency target. */
 const BACKLOG_TARGET_SHARE = 0.25;
-/** The pool grows at one time by this factor at the most. */
+/** Maximum growth in one step. */
 const GROWTH_FACTOR_MAX = 1.5;
-/** Part of the lasting endpoints that is given back at one time at the most. */
+/** Minimum share of on-demand endpoints kept in one step. */
 const ON_DEMAND_REMAINING_SHARE = 0.5;
 
-/** Endpoints of a pool in one data centre. */
+/** Running endpoints of a pool in one data centre. */
 export interface PoolPresence {
   readonly dataCentre: string;
-  /** Those that take calls: lasting ones, and ones that may be taken back. */
+  /** On-demand endpoints that accept calls; `spot` counts spot endpoints that do. */
   readonly lasting: number;
   readonly spot: number;
 }
 
-/** What is to be there in one data centre. */
+/** Desired endpoints of a pool in one data centre. */
 export interface DesiredCount {
   readonly dataCentre: string;
   readonly lasting: number;
   readonly spot: number;
 }
 
-/** What decides the size of a pool. */
 export interface SizingInput {
   readonly scaling: ScalingBounds;
   readonly present: readonly PoolPresence[];
-  /** Endpoints that there are to be in any case: as many as there were before anything was ordered. */
+  /** Minimum number of endpoints: the count before the first request. */
   readonly baseline: number;
-  /** The largest need of the last time. */
+  /** Highest count required recently. */
   readonly peakCount: number;
-  /** How long a prompt would wait to be read, in milliseconds; 0 while unknown. */
+  /** Estimated wait of a prompt before it is processed, in milliseconds; 0 if unknown. */
   readonly backlogMs: number;
-  /** The tightest target of the pool's routes, in milliseconds; infinite where there is none. */
+  /** Tightest latency target of the pool's routes, in milliseconds; infinite if there is none. */
   readonly targetMs: number;
 }
 
@@ -52,7 +50,7 @@
   return spotPrice !== undefined && spotPrice < 1;
 }
 
-/** How many endpoints the load needs. */
+/** Number of endpoints that the load requires. */
 export function computeRequiredCount(input: SizingInput): number {
   const { present: running, baseline, peakCount, backlogMs, targetMs } = input;
   const runningCount = running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
@@ -71,8 +69,8 @@
 }
 
 /**
- * What is to be there; nothing where nothing cheaper is offered: the pool is left as it is. Lasting endpoints go only once enough others take calls, and not all at one time:
- * with them goes what their engines hold in memory.
+ * Empty if spot capacity is not cheaper. On-demand endpoints are removed stepwise, and only once
+ * spot endpoints replace them, because their caches are lost with them.
  */
 export function computeDesired(input: SizingInput): DesiredCount[] {
   const { scaling, present: running } = input;
@@ -84,7 +82,7 @@
   );
   const spot = computeSpotPerDataCentre(computeRequiredCount(input), minOnDemand, dataCentres);
   const runningSpot = running.reduce((sum, each) => sum + each.spot, 0);
-  // Room beyond the least is made of what is cheap, or not at all.
+  // Headroom above the baseline consists of spot endpoints only.
   const shortfall = Math.max(0, input.baseline - runningSpot);
   const targetOnDemand = Math.max(minOnDemand, Math.ceil(shortfall / dataCentres));
   return running.map((each) => {
--- a/src/duties/true-time.test.ts
+++ b/src/duties/true-time.test.ts
@@ -40,13 +40,13 @@
     t.deepEqual(time.buildTold(200), { trueMs: 1_000_065, hops: 0 });
   });
 
-  // Guards against a fleet whose time runs with its fastest clock.
+  // Guards against feedback that makes the fleet follow its fastest clock.
   it('is not taken from those that have it from oneself', (t) => {
     const first = createTrueTime();
     const second = createTrueTime();
     first.recordTold({ trueMs: 1000, hops: 0 }, 0);
     for (let ms = 100; ms < 5000; ms += 100) {
-      // The second instance's clock gains a hundredth.
+      // The second instance's clock runs 1% fast.
       const sent = first.buildTold(ms);
       if (sent !== undefined) second.recordTold(sent, ms * 1.01);
       const returned = second.buildTold(ms * 1.01);
@@ -63,7 +63,7 @@
     t.is(time.computeFleetTime(40_000), 39_000);
   });
 
-  // Guards against counting a suspension's calls into windows that were over before it.
+  // Guards against counting calls made after a suspension in windows that ended before it.
   it('is right again with the next answer after the monotonic clock stood still', (t) => {
     const time = createTrueTime();
     time.setEpoch(0);
--- a/src/duties/true-time.ts
+++ b/src/duties/true-time.ts
@@ -1,51 +1,60 @@
 /**
- * Knows the time of day without trusting the own wall clock, which may be stepped: by the source's steady
- * clock, which is one for all instances, and one moment of it that the fleet has agreed on, or by what peers
- * tell of it. Free of I/O.
+ * Fleet time: a wall clock shared by all instances that does not depend on local wall clocks, which
+ * may be stepped. It is the monotonic clock of a common source plus an agreed epoch, or is learned
+ * from peers. Performs no I/O.
  *
- * What was passed on is taken from those alone that are nearer to the source. Guards against a fleet whose time
- * runs with its fastest clock: two instances that took each other's would each add what its own gains.
+ * Times from peers are used only at the lowest hop count available. Guards against a feedback loop
+ * in which two instances adopt each other's time and drift with the faster clock.
  */
 
-/** What was heard of a clock counts for one to two of these, in milliseconds: clocks run apart by less than a millisecond meanwhile. */
+/**
+ * A clock offset is valid for one to two of these spans, in milliseconds, which bounds the effect
+ * of drift.
+ */
 const SPAN_MS = 30_000;
 
-/** True time as an instance tells it. */
+/** Fleet time as sent between peers. */
 export interface ToldTime {
-  /** The earliest that it can be as this is sent, in milliseconds since the epoch. */
+  /** Lower bound of the time of sending, in milliseconds since the epoch. */
   readonly trueMs: number;
-  /** How many instances passed it on: 0 where the teller has it from the source. */
+  /** Number of relays; 0 if the sender follows the source itself. */
   readonly hops: number;
 }
 
-/** A time that was passed on as often is not passed on any more. */
+/** A time relayed this often is not relayed again. */
 export const HOPS_MAX = 3;
 
-/** True time as one instance knows it. */
+/** Fleet time as known to one instance. */
 export interface TrueTime {
-  /** The source's clock showed this when something was sent that came at `receivedMs` on the own monotonic clock. */
+  /** Records a reading of the source clock; `receivedMs` is on the local monotonic clock. */
   recordSource(sourceMs: number, receivedMs: number): void;
-  /** It was this when a peer sent something that came at `receivedMs`. */
+  /** Records a time sent by a peer; `receivedMs` is on the local monotonic clock. */
   recordTold(peerTime: ToldTime, receivedMs: number): void;
-  /** What to tell peers at a moment of the own monotonic clock; undefined while not known, or known from too far. */
+  /** The time to send to peers; undefined if it is unknown or has reached the hop limit. */
   buildTold(monotonicMs: number): ToldTime | undefined;
-  /** True time at 0 of the source's clock, in milliseconds since the epoch; the first that is set stays. */
+  /**
+   * Sets fleet time at 0 of the source clock, in milliseconds since the epoch; later calls have no
+   * effect.
+   */
   setEpoch(epochMs: number): void;
   getEpoch(): number | undefined;
-  /** What the source's clock shows at a moment of the own monotonic clock, late by the shortest way of what was heard of it. */
+  /**
+   * Estimates the source clock at a local monotonic time; late by the smallest network delay
+   * observed.
+   */
   computeSourceTime(monotonicMs: number): number | undefined;
-  /** Milliseconds since the epoch at a moment of the own monotonic clock; undefined while not known. */
+  /** Milliseconds since the epoch at a local monotonic time; undefined if unknown. */
   computeFleetTime(monotonicMs: number): number | undefined;
 }
 
-/** How far another clock is ahead of the own monotonic one. */
+/** Offset of a remote clock from the local monotonic clock. */
 interface ClockOffset {
   record(remoteMs: number, receivedMs: number): void;
-  /** Minus infinity while unknown, or heard too long ago. */
+  /** Minus infinity if unknown or outdated. */
   get(nowMs: number): number;
 }
 
-/** Nothing is heard before it was sent, so that each message bounds the offset from below. */
+/** Takes the largest offset observed: network delay makes each reading a lower bound. */
 function createOffset(): ClockOffset {
   let offsetMs = -Infinity;
   let earlierOffsetMs = -Infinity;
@@ -65,14 +74,13 @@
   };
 }
 
-/** Builds a time that is not known yet. */
 export function createTrueTime(): TrueTime {
   const source = createOffset();
-  /** By how often it was passed on: 1 where the teller had it from the source. */
+  /** By hop count of the sender. */
   const peers = Array.from({ length: HOPS_MAX }, createOffset);
   let epoch: number | undefined;
 
-  /** Of what is known, what came by the fewest instances. */
+  /** The offset with the lowest hop count. */
   function getNearest(nowMs: number): { readonly offsetMs: number; readonly hops: number } {
     const sourceOffsetMs = epoch === undefined ? -Infinity : source.get(nowMs) + epoch;
     const offsets = [sourceOffsetMs, ...peers.map((each) => each.get(nowMs))];
--- a/src/duties/usage-ledger.ts
+++ b/src/duties/usage-ledger.ts
@@ -1,40 +1,38 @@
 /**
- * Counts by organisation and window of time, gathered from all instances, free of I/O. What an instance
- * counted in a window only grows, so that what it tells may come twice, late and in any order, from
- * whomever, and an instance that dies takes nothing with it that it had told.
+ * Call counts by organisation and time window, merged from all instances. Each count only grows, so
+ * updates may be repeated, delayed or reordered (a grow-only counter). Performs no I/O.
  */
 
-/** Windows that are kept: the longest time that an instance may be cut off and still be counted, and some. */
+/**
+ * Number of windows retained; bounds how long an instance may be disconnected and still be counted.
+ */
 const WINDOWS_KEPT = 12;
 
-/** An organisation's calls. */
 export interface UsageCount {
   readonly organisation: string;
   readonly count: number;
 }
 
-/** What one start of an instance counted in a window so far. */
+/** Counts of one source in one window. */
 export interface UsageShare {
   readonly window: number;
   readonly counts: readonly UsageCount[];
 }
 
-/** Counts of all instances. */
+/** Merged counts of all sources. */
 export interface UsageLedger {
   add(source: string, window: number, organisation: string): void;
-  /** Takes what a start of an instance told; less than is known is no news. */
+  /** Merges counts received from a source by taking the maximum of each. */
   merge(source: string, windowCounts: UsageShare): void;
-  /** What one start counted, by window. */
   listBySource(source: string): UsageShare[];
-  /** The sums over all instances, by organisation in order of names. */
+  /** Sums over all sources, sorted by organisation. */
   sum(window: number): UsageCount[];
 }
 
 type Counts = Map<string, number>;
 
-/** Builds a ledger without any count. */
 export function createUsageLedger(): UsageLedger {
-  /** By window, then by source, then by organisation. */
+  /** By window, source and organisation. */
   const windows = new Map<number, Map<string, Counts>>();
   let newest = -Infinity;
 
@@ -44,7 +42,7 @@
     }
   }
 
-  /** Undefined for a window that is long over. */
+  /** Undefined if the window is no longer retained. */
   function getCounts(source: string, window: number): Counts | undefined {
     if (window <= newest - WINDOWS_KEPT) return undefined;
     if (window > newest) {
--- a/src/duties/usage-meter.test.ts
+++ b/src/duties/usage-meter.test.ts
@@ -22,7 +22,7 @@
   return { meter, start };
 }
 
-/** Everything that is told in a time. */
+/** Collects the updates sent in a time range. */
 function listUpdates(
   meter: ReturnType<typeof createHarness>['meter'],
   fromMs: number,
@@ -37,7 +37,8 @@
 }
 
 describe('counts of calls', ({ it }) => {
-  // Guards against usage that is billed twice, or lost, because of what the network did to a telling.
+  // Guards against usage that is counted twice or lost because updates are duplicated, delayed or
+  // reordered.
   it('come out the same however often, late and in whatever order they are told', (t) => {
     const call = fc.record({
       source: fc.constantFrom('a|1', 'a|2', 'b|1'),
@@ -76,7 +77,7 @@
     ]);
   });
 
-  // Guards against keepers of a large fleet that are told the same sums again and again.
+  // Guards against sending unchanged counts again.
   it('are told alone where only they changed', (t) => {
     const { meter, start } = createHarness('a');
     start();
@@ -88,7 +89,7 @@
     ]);
   });
 
-  // Guards against a holder that reports what it was told since it keeps counts, which is less than there was.
+  // Guards against incomplete reports by an aggregator that started after earlier counts were sent.
   it('are told anew to whoever keeps them from now on', (t) => {
     const { meter, start } = createHarness('a');
     start();
@@ -133,7 +134,7 @@
     aggregator.merge({ source, reachedMs: 5100, shares: windows }, 5100);
     t.true(aggregator.isComplete(5000, 5150));
     t.false(aggregator.isComplete(10_000, 10_000));
-    // An instance that fell silent is not waited for.
+    // A silent instance is ignored after a timeout.
     t.true(aggregator.isComplete(10_000, 20_000));
   });
 });
--- a/src/duties/usage-meter.ts
+++ b/src/duties/usage-meter.ts
@@ -1,64 +1,59 @@
 /**
- * Counts the calls that began at this instance's endpoints, tells the instances that keep the counts of
- * all, and keeps them where this one is told. Free of I/O.
+ * Counts the calls started at this instance's endpoints, sends the counts to the aggregating
+ * instances, and merges counts received from others. Performs no I/O.
  *
- * The load it answers: each call changes a count, at hundreds of instances and tens of thousands of
- * organisations. Sums so far are told a few times a second, so that an instance that dies takes half a
- * second of its counts with it; only sums that changed are told, and each three times, as datagrams are lost.
+ * Each update contains only counts that changed. Each change is sent several times, since datagrams
+ * may be lost.
  */
 import type { TrueTime } from './true-time.js';
 import { createUsageLedger } from './usage-ledger.js';
 import type { UsageCount, UsageLedger, UsageShare } from './usage-ledger.js';
 
-/** What is new is told this often, in milliseconds, in a fleet of up to `PERIOD_FLEET` instances. */
+/** Interval between updates, in milliseconds, for fleets of up to `BASE_FLEET_SIZE` instances. */
 const UPDATE_INTERVAL_MS = 400;
-/** In a larger one as much less often, so that who keeps the counts hears as many datagrams a second. */
+/** In larger fleets the interval grows with the size, to bound the datagram rate at aggregators. */
 const BASE_FLEET_SIZE = 80;
-/** Each sum is told so often. */
 const SENDS_PER_COUNT = 3;
-/** Nothing new is said this many periods after the last telling, so that others see how far the counts reach. */
+/** Without changes, an update is sent every so many intervals to advance the watermark. */
 const EMPTY_UPDATE_INTERVALS = 3;
-/** Calls that began before true time was known, at most. */
+/** Maximum number of calls buffered until fleet time is known. */
 const BUFFERED_CALLS_MAX = 10_000;
-/** A telling that came longer ago, in milliseconds, says nothing of whether its instance still counts. */
+/** A source silent for this time, in milliseconds, no longer delays completeness. */
 const SOURCE_TIMEOUT_MS = 6000;
 
-/** One start of an instance. */
+/** One process lifetime of an instance. */
 export interface UsageSource {
   readonly instance: string;
-  /** The wall clock at the start. */
+  /** Wall clock at process start. */
   readonly incarnation: number;
 }
 
-/** What an instance tells of its counts. */
+/** Counts sent by one source. */
 export interface UsageTelling {
   readonly source: UsageSource;
-  /** All that began there before this moment of true time is told. */
+  /** All calls started at the source before this fleet time have been sent. */
   readonly reachedMs: number;
   readonly shares: readonly UsageShare[];
 }
 
-/** What a meter is built on. */
 export interface UsageMeterOptions {
-  /** This start of this instance. */
   readonly source: UsageSource;
-  /** How long a window is, in milliseconds. */
+  /** Length of a window, in milliseconds. */
   readonly windowMs: number;
   readonly time: TrueTime;
   readonly countInstances: () => number;
 }
 
-/** The counts of one instance, and of all where it is told. */
 export interface UsageMeter {
-  /** An endpoint began a call of the organisation at a moment of the monotonic clock. */
+  /** Counts a call; `startedMs` is on the monotonic clock. */
   record(organisation: string, startedMs: number): void;
-  /** What is to be told now; undefined where nothing is. */
+  /** The update to send now; undefined if none is due. */
   advance(nowMs: number): UsageTelling | undefined;
-  /** Everything is told anew: somebody keeps counts now who was not told before. */
+  /** Queues all counts of this instance again, for an aggregator that has just started. */
   addKeeper(): void;
   merge(update: UsageTelling, nowMs: number): void;
   sum(window: number): UsageCount[];
-  /** Whether all that are heard have told everything that began before a moment of true time. */
+  /** Whether all active sources have sent every call started before this fleet time. */
   isComplete(fleetMs: number, nowMs: number): boolean;
 }
 
@@ -76,13 +71,12 @@
   return `${instance}|${incarnation}`;
 }
 
-/** Builds a meter that has counted nothing. */
 export function createUsageMeter(options: UsageMeterOptions): UsageMeter {
   const { windowMs, time, countInstances } = options;
   const source = formatSource(options.source);
   const ledger: UsageLedger = createUsageLedger();
   const bufferedCalls: BufferedCall[] = [];
-  /** How often each sum is still to be told, by window and organisation. */
+  /** Remaining sends of each count, by window and organisation. */
   const pendingSends = new Map<number, Map<string, number>>();
   const watermarks = new Map<string, Watermark>();
   let lastUpdateMs = -Infinity;
--- a/src/duties/usage-reporter.test.ts
+++ b/src/duties/usage-reporter.test.ts
@@ -11,7 +11,7 @@
 const WINDOW_MS = 5000;
 const DUE_MS = 10_000;
 
-/** A store that holds documents under conditions. */
+/** A store with conditional writes. */
 function createStore() {
   let rows: DutyRow[] = [];
   let version = 0;
@@ -99,7 +99,10 @@
       isActing: boolean;
     }
 
-    /** Plays holders that overlap, die and come back; answers are late or lost. All reports that arrived. */
+    /**
+     * Runs holders that overlap, stop and return, with late or lost responses; returns all reports
+     * delivered.
+     */
     function runReports(seed: number, steps: number): UsageReport[] {
       const random = createRandom(seed);
       const store = createStore();
@@ -110,7 +113,7 @@
         delayed.push({ at: clock.step + random.nextIndex(6), run });
       };
       const createHolder = (): Holder => ({
-        // Each holder has heard other counts.
+        // Each holder has received different counts.
         reporter: createUsageReporter({
           windowMs: WINDOW_MS,
           dueMs: DUE_MS,
@@ -165,7 +168,7 @@
       return arrived;
     }
 
-    // Guards against two different reports of one window, whoever sent them and whatever was lost.
+    // Guards against two different reports for one window.
     it('say the same of a window, whoever sends them', (t) => {
       let windows = 0;
       fc.assert(
--- a/src/duties/usage-reporter.ts
+++ b/src/duties/usage-reporter.ts
@@ -1,10 +1,9 @@
 /**
- * Reports usage window by window: fixes a window's counts in the store under a condition, before anybody
- * sends them, and sends just what is fixed until it is acknowledged, whoever holds the duty then. Free of
- * I/O.
+ * Reports usage per window. Commits the counts of a window to the store with a conditional write
+ * before sending, then sends the committed counts until they are acknowledged. Performs no I/O.
  *
- * Guards against two different reports of one window, which no one can tell apart afterwards: a holder
- * that dies between its call and the answer leaves behind what it sent, and the next sends the same.
+ * Guards against two different reports for one window: if the holder fails between call and
+ * response, its successor resends the committed report.
  */
 import { assertNever } from '../utils/assert-never.js';
 import type { UsageReport } from './duty-calls.js';
@@ -19,55 +18,56 @@
 } from './usage-rows.js';
 import type { UsageCount } from './usage-ledger.js';
 
-/** A window's counts are fixed no sooner than this after its end, in milliseconds: calls that began in it are still on their way. */
+/**
+ * Minimum delay between the end of a window and its commit, in milliseconds, for counts in flight.
+ */
 const COMMIT_DELAY_MS = 700;
-/** And no later than this part of the time in which it is due: what is left is for sending. */
+/** Share of the reporting deadline by which a window is committed even if counts are missing. */
 const COMMIT_DEADLINE_SHARE = 0.5;
-/** Windows that are made up for after a time without any holder. */
+/** Maximum number of past windows reported after a time without a holder. */
 const BACKFILL_WINDOWS_MAX = 12;
-/** Windows that are fixed at one time. */
 const COMMIT_BATCH_MAX = 4;
-/** A report that was not taken is sent again after this long, in milliseconds. */
+/** Delay before an unacknowledged report is sent again, in milliseconds. */
 const RETRY_DELAY_MS = 1500;
 
-/** What a reporter is built on. */
 export interface UsageReporterOptions {
-  /** How long a window is, in milliseconds. */
+  /** Length of a window, in milliseconds. */
   readonly windowMs: number;
-  /** How long after its end a window's report is due, in milliseconds. */
+  /** Reporting deadline after the end of a window, in milliseconds. */
   readonly dueMs: number;
   readonly sum: (window: number) => readonly UsageCount[];
-  /** Whether everything that began before a moment of true time is in the sums. */
+  /** Whether the sums include every call started before this fleet time. */
   readonly isComplete: (fleetMs: number) => boolean;
 }
 
-/** What a reporter asks for. */
+/** Requests from the reporter to its caller. */
 export type UsageCommand =
-  /** Read the documents anew. */
   | { readonly kind: 'read' }
   | { readonly kind: 'change'; readonly change: DutyChange }
   | { readonly kind: 'send'; readonly report: UsageReport };
 
-/** What a reporter is told. */
+/** Input to the reporter. */
 export type UsageMessage =
-  /** The holder may act; `trueMs`: undefined while true time is not known. */
+  /**
+   * Sent while this instance holds the lease; `fleetMs` is undefined while fleet time is unknown.
+   */
   | { readonly kind: 'tick'; readonly fleetMs: number | undefined }
   | { readonly kind: 'read'; readonly rows: readonly DutyRow[] }
   | { readonly kind: 'changed'; readonly change: DutyChange; readonly write: DutyWriteResult }
   | { readonly kind: 'sent'; readonly window: number; readonly isAccepted: boolean }
-  /** This instance is not the holder any more, or not yet again. */
+  /** This instance does not hold the lease. */
   | { readonly kind: 'lost' };
 
-/** The reporter of one holder. */
+/** Reports usage while this instance holds the lease. */
 export interface UsageReporter {
   handle(message: UsageMessage, nowMs: number): UsageCommand[];
-  /** Windows that are fixed and not taken yet. */
+  /** Number of committed windows that are not acknowledged. */
   countUnsent(): number;
 }
 
 interface CommittedState {
   readonly throughVersion: number;
-  /** The newest window that is fixed; undefined before the first. */
+  /** The newest committed window; undefined before the first commit. */
   readonly throughWindow: number | undefined;
 }
 
@@ -83,14 +83,13 @@
   readonly throughWindow: number;
 }
 
-/** Builds a reporter that has read nothing. */
 export function createUsageReporter(options: UsageReporterOptions): UsageReporter {
   const { windowMs, dueMs } = options;
   let committed: CommittedState | undefined;
   let isReading = false;
   let pending: PendingCommit | undefined;
   const unsent = new Map<number, UnsentReport>();
-  /** Documents of reports that were taken; they go with the next change. */
+  /** Documents of acknowledged reports, removed with the next change. */
   let acceptedKeys: string[] = [];
 
   function removeState(): void {
@@ -107,7 +106,7 @@
     return fleetMs >= endMs + dueMs * COMMIT_DEADLINE_SHARE || options.isComplete(endMs);
   }
 
-  /** Windows whose counts can be fixed now, in order. */
+  /** Windows that can be committed now, oldest first. */
   function listCommittable({ throughWindow }: CommittedState, fleetMs: number): number[] {
     const current = Math.floor(fleetMs / windowMs);
     const first = Math.max((throughWindow ?? current - 1) + 1, current - BACKFILL_WINDOWS_MAX);
@@ -142,7 +141,7 @@
   function postCommit(fleetMs: number): UsageCommand[] {
     if (committed === undefined || pending !== undefined) return [];
     const current = Math.floor(fleetMs / windowMs);
-    // The first window of all is the one in which the first holder begins.
+    // Reporting starts with the window in which the first holder starts.
     if (committed.throughWindow === undefined) {
       return setPending([], current - 1);
     }
@@ -191,7 +190,7 @@
     return sendDue(nowMs);
   }
 
-  /** An answer to a change of an earlier time as holder says nothing of the one under way. */
+  /** Ignores results of changes made in an earlier term as holder. */
   function handleChanged(
     { change, write }: Extract<UsageMessage, { kind: 'changed' }>,
     nowMs: number,
@@ -207,7 +206,7 @@
         return sendDue(nowMs);
       case 'conflict':
       case 'lost':
-        // What stands in the store is what counts; another holder, or a late write, was first.
+        // Reads the store again: another holder or a delayed write was first.
         committed = undefined;
         return [];
       default:
--- a/src/duties/usage-rows.ts
+++ b/src/duties/usage-rows.ts
@@ -1,27 +1,26 @@
-/** Fixed counts as documents: split where one outgrows the store's rows. */
+/** Encoding of committed counts, split into parts that fit the store's row size. */
 import { z } from 'zod';
 import type { UsageReport } from './duty-calls.js';
 import { USAGE_PREFIX } from './duty-store.js';
 import type { DutyRow } from './duty-store.js';
 import type { UsageCount } from './usage-ledger.js';
 
-/** Bytes of the counts in one document: a row of the store holds 64 KB. */
+/** Maximum bytes of counts per document; a row of the store holds 64 KB. */
 const PART_BYTES_MAX = 48_000;
 
 const PART_SCHEMA = z.object({
   window: z.int(),
-  /** Of so many. */
+  /** Total number of parts. */
   parts: z.int().positive(),
   counts: z.array(z.object({ organisation: z.string(), count: z.int() })),
 });
 const THROUGH_WINDOW_SCHEMA = z.object({ window: z.int() });
 
-/** The key of one part of a window's counts. */
 export function formatUsageKey(window: number, part: number): string {
   return `${USAGE_PREFIX}${window}/${part}`;
 }
 
-/** The documents of a report, in order of their parts. */
+/** Returns one document per part. */
 export function encodeReport({ window, counts }: UsageReport): string[] {
   const parts: UsageCount[][] = [[]];
   let bytes = 0;
@@ -42,12 +41,12 @@
   try {
     return PART_SCHEMA.safeParse(JSON.parse(row.text)).data;
   } catch {
-    // What is no document of this product is left where it is, and reported by nobody.
+    // Malformed documents are skipped.
     return undefined;
   }
 }
 
-/** The whole reports among all documents, oldest first; one that lacks a part is none. */
+/** Complete reports among the documents, oldest first; a report with missing parts is skipped. */
 export function listReports(rows: readonly DutyRow[]): UsageReport[] {
   const partsByWindow = new Map<number, z.infer<typeof PART_SCHEMA>[]>();
   for (const row of rows) {
@@ -61,12 +60,11 @@
     .sort((a, b) => a.window - b.window);
 }
 
-/** Writes down the newest window that is fixed. */
 export function encodeThroughWindow(window: number): string {
   return JSON.stringify({ window });
 }
 
-/** The newest window that is fixed; undefined where the document cannot be read. */
+/** The newest committed window; undefined if the document is malformed. */
 export function decodeThroughWindow(text: string): number | undefined {
   try {
     return THROUGH_WINDOW_SCHEMA.safeParse(JSON.parse(text)).data?.window;
--- a/src/leases/lapse-watch.ts
+++ b/src/leases/lapse-watch.ts
@@ -1,15 +1,18 @@
 /**
- * Judges leases of others lapsed, free of I/O: a document that has not changed for its length since this
- * instance first saw it. No clock of another machine is asked, and whoever sees it for the first time waits.
+ * Detects expired leases of other holders. A lease is expired once its document has kept one
+ * version for the lease duration on the local monotonic clock, so clocks of different machines are
+ * never compared. Performs no I/O.
  */
 import { createBoundedMap } from '../utils/bounded-map.js';
 
-/** Documents that are remembered; one that was forgotten counts as seen for the first time. */
+/** Documents tracked at most; an evicted one counts as first seen again. */
 const OBSERVATIONS_MAX = 1024;
 
-/** Documents as this instance saw them. */
 export interface LeaseExpiryTracker {
-  /** Whether a document has stood at this version for long enough; `nowMs` is of the monotonic clock. */
+  /**
+   * Whether the document has stayed at this version for the lease duration; `nowMs` is on the
+   * monotonic clock.
+   */
   isLapsed(key: string, version: number, nowMs: number): boolean;
 }
 
@@ -18,7 +21,6 @@
   readonly firstSeenMs: number;
 }
 
-/** Builds a watch that has seen nothing. */
 export function createLapseWatch(durationMs: number): LeaseExpiryTracker {
   const observations = createBoundedMap<string, Observation>(OBSERVATIONS_MAX);
   return {
--- a/src/leases/lease-bounds.ts
+++ b/src/leases/lease-bounds.ts
@@ -1,35 +1,47 @@
-/** The times of a lease. */
+/** Durations that govern a lease, in milliseconds. */
 
-/** Times that all instances with a part in one lease share, in milliseconds. */
+/** Durations shared by all participants in a lease, in milliseconds. */
 export interface LeaseBounds {
-  /** The holder's write counts this long, by its own clocks, from before it was sent. */
+  /**
+   * How long a write by the holder grants the lease, measured on its own clocks from before
+   * sending.
+   */
   readonly lengthMs: number;
-  /** The holder writes anew this often. */
+  /** Interval between renewals by the holder. */
   readonly renewMs: number;
-  /** Others wait this much longer than the length before they take over: their clocks may run faster. */
+  /**
+   * Added to the lease duration before others take over, to allow for clocks that run at different
+   * rates.
+   */
   readonly lapseMarginMs: number;
-  /** Who finds no document waits this long: it may have been removed a moment ago, under its holder. */
+  /**
+   * How long a missing document must stay missing before a takeover: its holder may still be
+   * active.
+   */
   readonly absentMs: number;
-  /** The holder stops this long before the end of the length. */
+  /** The holder stops acting this long before its lease ends. */
   readonly safetyMs: number;
-  /** A new holder waits this long for what the last one sent; 0 where each call ends within the holder's grant. */
+  /**
+   * Wait of a new holder for calls its predecessor sent; 0 if every call ends within the caller's
+   * grant.
+   */
   readonly settlingMs: number;
-  /** Who does not hold the lease reads it this often. */
+  /** Interval at which other participants read the lease. */
   readonly readMs: number;
-  /** A call of the store without an answer after this long counts as lost. */
+  /** A store call without a response after this time counts as lost. */
   readonly callTimeoutMs: number;
 }
 
-/** Renewals within one length: two may be lost. */
+/** Two lost renewals are tolerated. */
 const RENEWALS_PER_LEASE = 3;
-/** Parts of the length. */
+/** Shares of the lease duration. */
 const EXPIRY_MARGIN_SHARE = 0.17;
 const SAFETY_MARGIN_SHARE = 0.1;
 
 /**
- * The times of a lease of this length, whose calls each end within the holder's grant. `isNew`: nobody can
- * have held it before.
- * @default isNew false
+ * Computes the durations of a lease whose holder ends every call within its grant. `isFirstStart`:
+ * no earlier holder can exist.
+ * @default isFirstStart false
  */
 export function resolveLeaseBounds(durationMs: number, isFirstStart = false): LeaseBounds {
   const renewIntervalMs = durationMs / RENEWALS_PER_LEASE;
--- a/src/leases/lease-document.ts
+++ b/src/leases/lease-document.ts
@@ -1,25 +1,24 @@
-/** The document by which instances agree on who holds a lease. */
+/** The stored document that records who holds a lease. */
 
-/** The lease's document. */
 export interface LeaseDocument {
-  /** The machine that holds the lease. */
+  /** Machine name of the holder. */
   readonly holder: string;
   readonly fence: number;
-  /** Chosen anew for each write, so that a holder knows its own write again. */
+  /** Unique per write, so that a holder recognises its own write when it reads the document. */
   readonly writeId: string;
-  /** Holders before this one, the latest first. */
+  /** Previous holders, most recent first. */
   readonly earlier: readonly string[];
-  /** The holder gave it up: nothing of it is on its way any more. */
+  /** The holder released the lease and has no calls in flight. */
   readonly isReleased: boolean;
 }
 
-/** The lease as read, with the version of its document. */
+/** A lease document with its stored version. */
 export interface ReadLease {
   readonly version: number;
   readonly document: LeaseDocument;
 }
 
-/** Completes a document that an earlier release wrote, which named neither former holders nor a release. */
+/** Adds defaults for fields that earlier releases did not write. */
 export function resolveLease(
   version: number,
   document: Omit<LeaseDocument, 'earlier' | 'isReleased'> & Partial<LeaseDocument>,
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -7,14 +7,14 @@
 import type { LeaseOptions } from './lease.js';
 
 const STEP_MS = 50;
-/** The first holder has the lease by then, in milliseconds. */
+/** Time by which the first holder has the lease, in milliseconds. */
 const FIRST_TAKEOVER_MS = 6000;
-/** Schedules in one run; many more by hand, with `LEASE_RUNS`. */
+/** Schedules per run; `LEASE_RUNS` overrides the number. */
 const RUNS = Number(process.env.LEASE_RUNS ?? 1000);
-/** Steps in which nothing happens, for each in which something does. */
+/** Steps without a fault for each step with one. */
 const QUIET_STEPS_PER_FAULT = 12;
 
-/** Nobody removes documents; what is done about one that vanishes has a test of its own. */
+/** Removal of the document is left out here; a separate test covers it. */
 const faults = Object.values(TROUBLE).filter(
   (trouble) => trouble !== TROUBLE.None && trouble !== TROUBLE.Erase,
 );
@@ -27,12 +27,12 @@
   ),
 });
 
-/** A calm stretch. */
+/** Steps without faults. */
 function buildQuietSteps(ms: number): PlayedStep[] {
   return Array.from({ length: ms / STEP_MS }, () => ({ machine: 0, trouble: TROUBLE.None }));
 }
 
-/** Trouble begins once there is a holder. */
+/** Faults begin once there is a holder. */
 const schedule = fc.tuple(
   fc.integer(),
   fc
@@ -55,7 +55,8 @@
 
 describe('a lease as the called side sees it', ({ describe: block }) => {
   block('under any trouble', ({ it }) => {
-    // Guards against two holders at one time, one number for two, and a holder that comes back too soon.
+    // Guards against two concurrent holders, a reused fencing token, and a holder that returns too
+    // early.
     it('has one holder at a time, with a number that only grows', (t) => {
       t.is(findBreaches(), undefined);
     });
@@ -143,7 +144,7 @@
   });
 
   block('after its holder is gone', ({ it }) => {
-    /** From the last call of the holder to the first of the next, in milliseconds. */
+    /** Time from the last call of a holder to the first call of its successor, in milliseconds. */
     const listTakeoverTimes = (fault: Trouble): number[] =>
       Array.from({ length: 30 }, (_, seed) => {
         const holder = runLeasePlay(4, buildQuietSteps(FIRST_TAKEOVER_MS), createRandom(seed)).at(
--- a/src/leases/lease.test.ts
+++ b/src/leases/lease.test.ts
@@ -7,7 +7,7 @@
 
 const STEP_MS = 250;
 
-/** A holder with clocks of its own; its monotonic clock may stand still while it is suspended. */
+/** A participant with its own clocks; its monotonic clock may stop while it is suspended. */
 interface Holder {
   readonly lease: Lease;
   readonly queue: LeaseCommand[];
@@ -29,7 +29,7 @@
   readonly holder: number;
   readonly action: 'run' | 'pause' | 'suspend' | 'wake' | 'cut_off' | 'reconnected';
   readonly isResponseLost: boolean;
-  /** How long orders sent in this step are on their way, in milliseconds. */
+  /** Latency of the orders sent in this step, in milliseconds. */
   readonly latencyMs: number;
 }
 
@@ -52,13 +52,13 @@
   latencyMs: fc.integer({ min: 0, max: ORDER_FLIGHT_MS - STEP_MS }),
 });
 
-/** Orders on their way to an engine that ignores fencing numbers. */
+/** An order on its way to an engine that does not check fencing tokens. */
 interface InFlightOrder {
   readonly fence: number;
   readonly arrivesMs: number;
 }
 
-/** Runs a schedule; the fences in the order in which they reach the engine. */
+/** Runs a schedule and returns the fencing tokens in order of arrival at the engine. */
 function runSchedule(steps: readonly Step[]): number[] {
   const holders = [createHolder('a'), createHolder('b'), createHolder('c')];
   const suspended = new Set<Holder>();
@@ -148,9 +148,8 @@
 
 describe('lease', ({ it }) => {
   it('never lets an old holder’s order arrive after a new one’s, engines not checking', (t) => {
-    // An engine unloads the model it was just told to load. A holder is paused or suspended past its
-    // lease and wakes, answers are lost, holders are cut off from the table; its old order arrives after the new
-    // holder's, at an engine that ignores fencing numbers.
+    // Guards against an engine unloading the model it was just told to load, after a pause, a
+    // suspension, a lost response or a partition.
     const property = fc.property(
       fc.array(stepArbitrary, { minLength: 40, maxLength: 160 }),
       (steps) => isNonDecreasing(runSchedule(steps)),
@@ -168,8 +167,8 @@
   }
 
   it('waits out the last holder’s slowest order', (t) => {
-    // An engine unloads the model it was just told to load. The old holder is cut off from the table,
-    // orders until its lease ends, and its last order takes three seconds; the new one's takes none.
+    // Guards against an order that a partitioned holder sent last and that arrives after its
+    // successor's.
     const stepsBeforeExpiry = (ORDER_LEASE.lengthMs - 1000) / STEP_MS;
     const maxLatencyMs = ORDER_FLIGHT_MS - STEP_MS;
     const cutOffStep: Step[] = [
--- a/src/leases/lease.ts
+++ b/src/leases/lease.ts
@@ -1,79 +1,79 @@
 /**
- * A lease in a store that writes under conditions, with a fencing number that only grows, free of I/O.
+ * A lease in a store with conditional writes, with a monotonically increasing fencing token.
+ * Performs no I/O.
  *
- * Others judge a lease lapsed when its document has not changed for longer than its length by their own
- * monotonic clock, so no two clocks are ever compared. The holder counts by its own from before it sent
- * its last write, and doubts it once its wall clock parts from it: a suspended machine's monotonic clock
- * may stand still.
+ * Other participants consider the lease expired when its document has not changed for the lease
+ * duration on their own monotonic clock, so clocks of different machines are never compared. The
+ * holder measures from before it sent its last write, and suspends its grant if its wall and
+ * monotonic clocks diverge, since a monotonic clock may stop while a machine is suspended.
  */
 import { assertNever } from '../utils/assert-never.js';
 import type { LeaseBounds } from './lease-bounds.js';
 import type { LeaseDocument, ReadLease } from './lease-document.js';
 
-/** Former holders that a document names. */
+/** Previous holders recorded in a document. */
 const EARLIER_HOLDERS_MAX = 4;
-/** Writes without an answer that are remembered: each may take effect late. */
+/** Lost writes that are remembered, since each may still take effect. */
 const UNACKNOWLEDGED_WRITES_MAX = 8;
 
-/** The clocks at one moment. */
+/** Both clocks, read at the same time. */
 export interface Moment {
   readonly monotonicMs: number;
   readonly wallMs: number;
 }
 
-/** How a write ended. */
+/** Outcome of a write. */
 export type WriteResult =
-  /** `version`: the document's, now. */
+  /** `version`: the new version of the document. */
   | { readonly kind: 'written'; readonly version: number }
-  /** The document was at another version; `lease`: as it is, where the store says. */
+  /** The stored version differed; `lease`: the stored document, if the store returned it. */
   | { readonly kind: 'conflict'; readonly lease: ReadLease | undefined }
-  /** No answer: it may have been done, or may be done later. */
+  /** No response: the write may have been applied, or may still be. */
   | { readonly kind: 'lost' };
 
-/** What a lease is told. */
+/** Input to a lease. */
 export type LeaseMessage =
-  /** Who holds the lease and does not want it any more gives it up: nothing may be on its way then. */
+  /** If not wanted, a held lease is released: the holder must have no calls in flight. */
   | { readonly kind: 'tick'; readonly isWanted: boolean }
-  /** `newestVersion`: no document of this lease was ever written at a later one. */
+  /** `newestVersion`: upper bound of the versions at which this lease was ever written. */
   | {
       readonly kind: 'read';
       readonly lease: ReadLease | undefined;
       readonly newestVersion: number;
     }
   | { readonly kind: 'written'; readonly writeId: string; readonly ending: WriteResult }
-  /** The process did not run, or its clocks parted. */
+  /** The process was paused, or its clocks diverged. */
   | { readonly kind: 'paused' };
 
-/** What a lease asks for. */
+/** Requests from a lease to its caller. */
 export type LeaseCommand =
   | { readonly kind: 'read' }
   | { readonly kind: 'write'; readonly document: LeaseDocument; readonly expectedVersion: number };
 
-/** What the holder may do now. */
+/** Permission to act as the holder. */
 export interface Grant {
-  /** Goes with each call; of two calls the one with the higher number is the later. */
+  /** Fencing token: sent with each call; a higher token belongs to a later holder. */
   readonly fence: number;
-  /** Whatever is begun has to have ended after this long, in milliseconds. */
+  /** Time by which calls started now must have ended, in milliseconds from now. */
   readonly leftMs: number;
 }
 
-/** One instance's part in a lease. */
+/** One participant in a lease. */
 export interface Lease {
   handle(message: LeaseMessage, now: Moment): LeaseCommand[];
-  /** Undefined where nothing may be begun. */
+  /** Undefined if this participant must not start any call. */
   getGrant(now: Moment): Grant | undefined;
-  /** The document that was seen last. */
+  /** The document last observed. */
   getLastDocument(): LeaseDocument | undefined;
 }
 
-/** What an instance's part is built on. */
 export interface LeaseOptions {
-  /** The machine: a process that starts again there takes part under the same name. */
+  /** Machine name; a restarted process takes part under the same name. */
   readonly holder: string;
   readonly bounds: LeaseBounds;
   readonly createWriteId: () => string;
   /**
-   * How much longer this instance waits before it takes over, from 0 to 1 of a reading's period.
+   * Extra wait before a takeover, as a share (0 to 1) of the read interval.
    * @default 0
    */
   readonly drawDelay?: () => number;
@@ -82,7 +82,7 @@
 interface SentWrite {
   readonly document: LeaseDocument;
   readonly expectedVersion: number;
-  /** On the monotonic clock; long ago where that clock may have stood still since. */
+  /** On the monotonic clock; minus infinity if that clock may have stopped since. */
   readonly sentMs: number;
 }
 
@@ -95,11 +95,11 @@
 interface ObservedLease {
   readonly lease: ReadLease;
   readonly observedMs: number;
-  /** Drawn for each document, so that those who wait do not ask at one moment. */
+  /** Drawn per document, so that waiting participants do not take over at the same time. */
   readonly jitterMs: number;
 }
 
-/** Builds an instance's part in a lease that it does not hold. */
+/** Creates a participant that does not hold the lease. */
 export function createLease({
   holder,
   bounds: timings,
@@ -113,11 +113,11 @@
   let unacknowledged: SentWrite[] = [];
   let held: HeldLease | undefined;
   let lastReadMs = -Infinity;
-  /** When a reading last found no document. */
+  /** When a read last found no document. */
   let lastAbsentReadMs = -Infinity;
   let lastWriteMs = -Infinity;
   let commands: LeaseCommand[] = [];
-  /** Of the wall clock from the monotonic one, at the last look. */
+  /** Wall clock minus monotonic clock, when last checked. */
   let clockOffsetMs: number | undefined;
 
   function computeRemainingMs(now: Moment): number {
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Doubts the grant until the next renewal once the clocks have parted: after a suspension the monotonic
-   * clock says too little, and a later step of the time of day would hide it again.
+   * Suspends the grant until the next renewal if the clocks have diverged. The monotonic clock may
+   * have stopped during a suspension, and a later step of the wall clock could hide it.
    */
   function checkClocks(now: Moment): void {
     const offsetMs = now.wallMs - now.monotonicMs;
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Numbers are drawn from the versions of the store, which grow by themselves. Guards against numbers
-   * that begin anew after the document was lost: engines and others would take old orders for new ones.
+   * Derives the fencing token from the store's versions, which keep increasing if the document is
+   * lost. Guards against reused tokens, which would let receivers accept outdated calls.
    */
   function postTakeover(now: Moment): void {
     const previous = observed?.lease.document;
@@ -168,9 +168,9 @@
   }
 
   /**
-   * Whether the document may be replaced. One that was given up is free at once, but not for those who
-   * held it lately. Guards against a machine that acts again right after its successor: who watches from
-   * outside sees two holders at one time.
+   * Whether the lease can be taken over. A released lease is free at once, except for its recent
+   * holders. Guards against a machine that acts again right after its successor, which looks like
+   * two concurrent holders.
    */
   function isFree(now: Moment): boolean {
     if (observed === undefined) {
@@ -217,7 +217,7 @@
 
   function recordObserved(lease: ReadLease, now: Moment): void {
     absentSinceMs = undefined;
-    // An older version is a stale read: taking it for a change would only delay a takeover.
+    // Ignores stale reads, which would restart the expiry time.
     if (observed !== undefined && lease.version <= observed.lease.version) return;
     observed = { lease, observedMs: now.monotonicMs, jitterMs: computeJitter() * timings.readMs };
   }
@@ -229,13 +229,16 @@
     held = {
       fence: document.fence,
       grantedMs: sentMs,
-      // Guards against an order of the last holder still on its way to an engine that ignores
-      // fencing numbers: it shows as an old order undoing a new one. By then it has arrived.
+      // Guards against an order of the previous holder that is still in flight to an engine that
+      // does not check fencing tokens and would undo a newer one.
       usableFromMs: isRenewal ? (held?.usableFromMs ?? 0) : now.monotonicMs + takeoverDelayMs,
     };
   }
 
-  /** Takes a document as the newest; one that this instance wrote without an answer is its own. */
+  /**
+   * Applies a newly observed document; recognises writes of this participant whose response was
+   * lost.
+   */
   function handleDocument(lease: ReadLease, now: Moment): void {
     const isNewer = observed === undefined || lease.version > observed.lease.version;
     recordObserved(lease, now);
@@ -278,9 +281,9 @@
       handleDocument(message.lease, now);
       return;
     }
-    // A document that is gone belongs to nobody; a read that lags behind an own write says nothing.
+    // No document means no holder, unless the read is older than this participant's last write.
     if (observed !== undefined && message.newestVersion <= observed.lease.version) return;
-    // What was read before a time without any answer says nothing of that time.
+    // The document counts as continuously missing only if reads succeeded throughout.
     const isContinuous =
       now.monotonicMs - lastAbsentReadMs <= 2 * timings.readMs + timings.callTimeoutMs;
     if (!isContinuous || absentSinceMs === undefined) absentSinceMs = now.monotonicMs;
@@ -290,7 +293,7 @@
   }
 
   function handlePaused(): void {
-    // What was on its way belongs to the time before: it may have been done, or may be done later.
+    // Pending writes may have been applied, or may still be.
     const writes = pending === undefined ? unacknowledged : [pending, ...unacknowledged];
     unacknowledged = writes
       .slice(0, UNACKNOWLEDGED_WRITES_MAX)
