--- a/src/duties/pool-orders.test.ts
+++ b/src/duties/pool-orders.test.ts
@@ -79,8 +79,8 @@
   };
 }
 
-describe('orders of endpoints', ({ it }) => {
-  it('wait until the pool is known, and settle', (t) => {
+describe('pool scaler', ({ it }) => {
+  it('waits for a stable endpoint count, then converges', (t) => {
     const { sent, counts, advance } = createHarness();
     advance(1);
     t.is(sent.length, 0);
@@ -93,7 +93,7 @@
   });
 
   // Guards against a pool being resized at each change of holder.
-  it('are the same under the next holder', (t) => {
+  it('requests the same counts after a change of holder', (t) => {
     const first = createHarness();
     first.advance(30);
     const next = createHarness([...first.rows]);
@@ -104,7 +104,7 @@
     }
   });
 
-  it('are repeated while there is no room, now and then', (t) => {
+  it('retries with a delay while capacity is unavailable', (t) => {
     const { sent, advance, setOutcome } = createHarness();
     setOutcome('unavailable');
     advance(30);
@@ -112,7 +112,7 @@
     t.true(spot.length >= 5 && spot.length <= 12, String(spot.length));
   });
 
-  it('ask again for what was taken back', (t) => {
+  it('requests reclaimed endpoints again', (t) => {
     const { sent, counts, advance } = createHarness();
     advance(30);
     const before = sent.length;
@@ -123,7 +123,7 @@
     t.is(counts.get('a|true'), requested);
   });
 
-  it('end with the pool’s declaration', (t) => {
+  it('stops when the pool is removed from the configuration', (t) => {
     const { sent, run, setOutcome, advance } = createHarness();
     setOutcome('rejected');
     advance(10);
@@ -136,14 +136,14 @@
   });
 
   // Guards against shrinking a pool on outdated information.
-  it('take nothing away on knowledge that is old', (t) => {
+  it('does not scale down on outdated information', (t) => {
     const { counts, advance } = createHarness();
     advance(2);
     advance(30, 60_000);
     t.is(counts.get('a|false'), 10);
   });
 
-  it('grow the pool while prompts wait, and keep it for a while', (t) => {
+  it('grows the pool under backlog and delays scaling down', (t) => {
     const { counts, advance } = createHarness();
     advance(30);
     const idle = counts.get('a|true') ?? 0;
--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -40,8 +40,8 @@
   return running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
 }
 
-describe('the size of a pool', ({ it }) => {
-  it('stays as declared where nothing cheaper is offered', (t) => {
+describe('pool sizing', ({ it }) => {
+  it('leaves the pool unchanged if spot capacity is not cheaper', (t) => {
     const scaling = { ...SCALING, spotPrice: undefined };
     t.deepEqual(computeDesired(buildInput({ scaling })), []);
     const running = [20, 14, 8].map((lasting, index) => ({
@@ -52,7 +52,7 @@
     t.deepEqual(computeDesired(buildInput({ scaling, present: running, backlogMs: 1000 })), []);
   });
 
-  it('lets no lasting endpoint go before others take its calls', (t) => {
+  it('keeps on-demand endpoints until spot endpoints replace them', (t) => {
     const [first] = computeDesired(buildInput({}));
     t.is(first?.lasting, 14);
     t.is(first?.spot, 14);
@@ -60,14 +60,14 @@
 
   // Guards against a pool too small for a load peak, or for normal load after the loss of one data
   // centre's spot capacity.
-  it('is a third larger than declared even without any data centre’s endpoints that may go', (t) => {
+  it('keeps a third of headroom after the loss of one data centre’s spot endpoints', (t) => {
     const running = runUntilStable(buildInput({}));
     for (const lost of running) t.true(countAll(running) - lost.spot >= 56);
     const onDemandCount = running.reduce((sum, each) => sum + each.lasting, 0);
     t.true(onDemandCount <= 42 * 0.25, JSON.stringify(running));
   });
 
-  it('grows with the wait for engines, with what is cheap alone', (t) => {
+  it('grows with the backlog, by spot endpoints only', (t) => {
     const idle = runUntilStable(buildInput({}));
     const loaded = computeDesired(buildInput({ present: idle, backlogMs: 400 }));
     t.true(countAll(loaded) > countAll(idle));
@@ -77,7 +77,7 @@
     );
   });
 
-  it('falls back on lasting endpoints where no others come', (t) => {
+  it('falls back to on-demand endpoints if no spot endpoints start', (t) => {
     const running = runUntilStable(buildInput({}));
     const withoutSpot = computeDesired(
       buildInput({ present: running.map((p) => ({ ...p, spot: 0 })) }),
@@ -88,7 +88,7 @@
     );
   });
 
-  it('stays within the bounds, whatever is there and however long prompts wait', (t) => {
+  it('stays within the configured bounds for any input', (t) => {
     const presence = fc.record({ lasting: fc.nat(40), spot: fc.nat(40) });
     const property = fc.property(
       fc.array(presence, { minLength: 1, maxLength: 5 }),
--- a/src/duties/true-time.test.ts
+++ b/src/duties/true-time.test.ts
@@ -1,8 +1,8 @@
 import { describe } from '../test/describe.js';
 import { createTrueTime } from './true-time.js';
 
-describe('true time', ({ it }) => {
-  it('is known once the source and the agreed moment are', (t) => {
+describe('fleet time', ({ it }) => {
+  it('is known once a source reading and the epoch are known', (t) => {
     const time = createTrueTime();
     t.is(time.computeFleetTime(100), undefined);
     time.recordSource(5000, 100);
@@ -12,7 +12,7 @@
     t.is(time.computeFleetTime(160), 1_005_060);
   });
 
-  it('goes by what came the shortest way', (t) => {
+  it('uses the reading with the lowest delay', (t) => {
     const time = createTrueTime();
     time.setEpoch(0);
     time.recordSource(1000, 40);
@@ -21,14 +21,14 @@
     t.is(time.computeFleetTime(300), 1298);
   });
 
-  it('keeps the first moment that was agreed on', (t) => {
+  it('keeps the first epoch that was set', (t) => {
     const time = createTrueTime();
     time.setEpoch(7);
     time.setEpoch(8);
     t.is(time.getEpoch(), 7);
   });
 
-  it('is known by what peers tell, from those that are nearer to the source', (t) => {
+  it('prefers peers with fewer hops to the source', (t) => {
     const time = createTrueTime();
     time.recordTold({ trueMs: 1_000_900, hops: 1 }, 100);
     t.is(time.computeFleetTime(150), 1_000_950);
@@ -41,7 +41,7 @@
   });
 
   // Guards against feedback that makes the fleet follow its fastest clock.
-  it('is not taken from those that have it from oneself', (t) => {
+  it('does not follow peers that follow this instance', (t) => {
     const first = createTrueTime();
     const second = createTrueTime();
     first.recordTold({ trueMs: 1000, hops: 0 }, 0);
@@ -55,7 +55,7 @@
     t.is(first.computeFleetTime(5000), 6000);
   });
 
-  it('leaves out what nobody has told for long', (t) => {
+  it('ignores outdated readings', (t) => {
     const time = createTrueTime();
     time.setEpoch(0);
     time.recordSource(1000, 0);
@@ -64,7 +64,7 @@
   });
 
   // Guards against counting calls made after a suspension in windows that ended before it.
-  it('is right again with the next answer after the monotonic clock stood still', (t) => {
+  it('recovers with the next reading after the monotonic clock stopped', (t) => {
     const time = createTrueTime();
     time.setEpoch(0);
     time.recordSource(1000, 0);
@@ -72,7 +72,7 @@
     t.is(time.computeFleetTime(500), 9000);
   });
 
-  it('forgets what was heard long ago, as clocks run apart', (t) => {
+  it('drops old offsets to follow clock drift', (t) => {
     const time = createTrueTime();
     time.setEpoch(0);
     time.recordSource(1000, 0);
--- a/src/duties/usage-meter.test.ts
+++ b/src/duties/usage-meter.test.ts
@@ -36,10 +36,10 @@
   return updates;
 }
 
-describe('counts of calls', ({ it }) => {
+describe('usage meter', ({ it }) => {
   // Guards against usage that is counted twice or lost because updates are duplicated, delayed or
   // reordered.
-  it('come out the same however often, late and in whatever order they are told', (t) => {
+  it('merges repeated, delayed and reordered updates to the same sums', (t) => {
     const call = fc.record({
       source: fc.constantFrom('a|1', 'a|2', 'b|1'),
       window: fc.integer({ min: 1, max: 3 }),
@@ -64,7 +64,7 @@
     );
   });
 
-  it('are told with their window until each state was told three times', (t) => {
+  it('sends each changed count three times with its window', (t) => {
     const { meter, start } = createHarness('a');
     start();
     meter.record('x', 4990);
@@ -78,7 +78,7 @@
   });
 
   // Guards against sending unchanged counts again.
-  it('are told alone where only they changed', (t) => {
+  it('sends only the counts that changed', (t) => {
     const { meter, start } = createHarness('a');
     start();
     meter.record('x', 10);
@@ -90,7 +90,7 @@
   });
 
   // Guards against incomplete reports by an aggregator that started after earlier counts were sent.
-  it('are told anew to whoever keeps them from now on', (t) => {
+  it('sends all counts again for a new aggregator', (t) => {
     const { meter, start } = createHarness('a');
     start();
     meter.record('x', 10);
@@ -103,7 +103,7 @@
     t.deepEqual(aggregator.sum(1), [{ organisation: 'y', count: 1 }]);
   });
 
-  it('wait for true time to be known', (t) => {
+  it('buffers calls until fleet time is known', (t) => {
     const { meter, start } = createHarness('a');
     meter.record('x', 10);
     t.is(meter.advance(20), undefined);
@@ -113,7 +113,7 @@
     ]);
   });
 
-  it('of an instance that died stay with whoever was told', (t) => {
+  it('keeps the counts of an instance that restarted', (t) => {
     const aggregator = createHarness('a').meter;
     const first = createHarness('b', 1);
     const second = createHarness('b', 2);
@@ -125,7 +125,7 @@
     t.deepEqual(aggregator.sum(0), [{ organisation: 'x', count: 2 }]);
   });
 
-  it('reach a moment once everybody that is heard has told so', (t) => {
+  it('is complete once all active sources have passed the given time', (t) => {
     const aggregator = createHarness('a').meter;
     const windows: UsageTelling['shares'] = [];
     const source = { instance: 'b', incarnation: 1 };
--- a/src/duties/usage-reporter.test.ts
+++ b/src/duties/usage-reporter.test.ts
@@ -32,8 +32,8 @@
   };
 }
 
-describe('usage reports', ({ describe: block }) => {
-  block('of one holder', ({ it }) => {
+describe('usage reporter', ({ describe: block }) => {
+  block('with one holder', ({ it }) => {
     function createHarness() {
       const store = createStore();
       const sent: UsageReport[] = [];
@@ -63,7 +63,7 @@
       return { store, sent, tick, setReached: setComplete, reporter };
     }
 
-    it('begin with the window in which the first holder begins, one for each', (t) => {
+    it('reports each window once, from the one in which the first holder starts', (t) => {
       const { sent, tick } = createHarness();
       for (let ms = 12_000; ms < 31_000; ms += 1000) tick(ms);
       t.deepEqual(
@@ -73,7 +73,7 @@
       t.deepEqual(sent[0]?.counts, [{ organisation: 'x', count: 2 }]);
     });
 
-    it('wait for counts that are still on their way, but not past half of the time they have', (t) => {
+    it('waits for missing counts, up to half of the reporting deadline', (t) => {
       const { sent, tick, setReached } = createHarness();
       tick(12_000);
       tick(12_100);
@@ -85,14 +85,14 @@
       t.is(sent.length, 1);
     });
 
-    it('leave no documents behind but the latest', (t) => {
+    it('removes the documents of acknowledged reports', (t) => {
       const { store, tick } = createHarness();
       for (let ms = 12_000; ms < 61_000; ms += 1000) tick(ms);
       t.true(store.list().length <= 3, JSON.stringify(store.list()));
     });
   });
 
-  block('of several holders', ({ it }) => {
+  block('with several holders', ({ it }) => {
     interface Holder {
       readonly reporter: UsageReporter;
       readonly queue: UsageMessage[];
@@ -169,7 +169,7 @@
     }
 
     // Guards against two different reports for one window.
-    it('say the same of a window, whoever sends them', (t) => {
+    it('sends identical reports for a window from every holder', (t) => {
       let windows = 0;
       fc.assert(
         fc.property(fc.integer(), (seed) => {
@@ -188,8 +188,8 @@
     });
   });
 
-  block('as documents', ({ it }) => {
-    it('are whole again, however many organisations there were', (t) => {
+  block('encoding', ({ it }) => {
+    it('restores reports of any size from their parts', (t) => {
       const counts = Array.from({ length: 5000 }, (_, index) => ({
         organisation: `organisation-${index}`,
         count: index,
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -53,21 +53,21 @@
   return findBreach(runLeasePlay(4, steps, createRandom(seed), parts));
 }
 
-describe('a lease as the called side sees it', ({ describe: block }) => {
-  block('under any trouble', ({ it }) => {
+describe('lease, as observed by the receiver of calls', ({ describe: block }) => {
+  block('under random faults', ({ it }) => {
     // Guards against two concurrent holders, a reused fencing token, and a holder that returns too
     // early.
-    it('has one holder at a time, with a number that only grows', (t) => {
+    it('has one holder at a time, with increasing fencing tokens', (t) => {
       t.is(findBreaches(), undefined);
     });
   });
 
-  block('without one of its guards', ({ it }) => {
+  block('with one guard disabled', ({ it }) => {
     const createMutant = (change: (options: LeaseOptions) => LeaseOptions): LeaseParts => ({
       createLease: (options) => createLease(change(options)),
     });
 
-    it('is taken over too early', (t) => {
+    it('is taken over too early without the expiry margin', (t) => {
       const parts = createMutant((options) => ({
         ...options,
         bounds: { ...options.bounds, lapseMarginMs: -LENGTH_MS / 3 },
@@ -75,7 +75,7 @@
       t.not(findBreaches(parts), undefined);
     });
 
-    it('is used for too long', (t) => {
+    it('is used after its expiry', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
@@ -91,7 +91,7 @@
       t.not(findBreaches(parts), undefined);
     });
 
-    it('outlives a suspension that the monotonic clock does not count', (t) => {
+    it('survives a suspension that stops the monotonic clock', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
@@ -109,7 +109,7 @@
       t.not(findBreaches(parts), undefined);
     });
 
-    it('comes back to a holder that gave it up a moment ago', (t) => {
+    it('returns to a holder that has just released it', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
@@ -143,7 +143,7 @@
     });
   });
 
-  block('after its holder is gone', ({ it }) => {
+  block('after the holder stops', ({ it }) => {
     /** Time from the last call of a holder to the first call of its successor, in milliseconds. */
     const listTakeoverTimes = (fault: Trouble): number[] =>
       Array.from({ length: 30 }, (_, seed) => {
@@ -162,11 +162,11 @@
         return (next?.atMs ?? Infinity) - (last?.atMs ?? 0);
       });
 
-    it('is taken over within two lengths of a kill', (t) => {
+    it('is taken over within two lease durations of a crash', (t) => {
       for (const ms of listTakeoverTimes(TROUBLE.Kill)) t.true(ms < 2 * LENGTH_MS);
     });
 
-    it('is not taken over while a holder whose document vanished may still act', (t) => {
+    it('is not taken over while the holder of a deleted document may still act', (t) => {
       const steps = [
         ...buildQuietSteps(FIRST_TAKEOVER_MS),
         { machine: 0, trouble: TROUBLE.Erase },
@@ -179,7 +179,7 @@
       }
     });
 
-    it('is handed over within two renewals of the last call of a holder that leaves', (t) => {
+    it('is handed over within two renewal intervals of a graceful shutdown', (t) => {
       for (const ms of listTakeoverTimes(TROUBLE.Drain)) t.true(ms < (2 * LENGTH_MS) / 3);
     });
   });
--- a/src/leases/lease.test.ts
+++ b/src/leases/lease.test.ts
@@ -147,7 +147,7 @@
 }
 
 describe('lease', ({ it }) => {
-  it('never lets an old holder’s order arrive after a new one’s, engines not checking', (t) => {
+  it('delivers no order of a previous holder after one of its successor', (t) => {
     // Guards against an engine unloading the model it was just told to load, after a pause, a
     // suspension, a lost response or a partition.
     const property = fc.property(
@@ -166,7 +166,7 @@
     }));
   }
 
-  it('waits out the last holder’s slowest order', (t) => {
+  it('delays a new holder by the maximum latency of an order', (t) => {
     // Guards against an order that a partitioned holder sent last and that arrives after its
     // successor's.
     const stepsBeforeExpiry = (ORDER_LEASE.lengthMs - 1000) / STEP_MS;
@@ -187,7 +187,7 @@
     }
   });
 
-  it('is taken over after a holder’s death, with a higher number', (t) => {
+  it('is taken over with a higher fencing token after the holder stops', (t) => {
     const pauseStep: Step[] = [{ holder: 0, action: 'pause', isResponseLost: false, latencyMs: 0 }];
     const stepsAfter = buildSteps((3 * ORDER_LEASE.lengthMs) / STEP_MS, 1, 0);
     const fences = runSchedule([...buildSteps(20, 0, 0), ...pauseStep, ...stepsAfter]);
