--- a/src/duties/pool-orders.ts
+++ b/src/duties/pool-orders.ts
@@ -160,14 +160,10 @@
   }
 
   /** Requests endpoints again that were reclaimed or never started. */
-  function updateAccepted(
-    state: PoolState,
-    { scaling, present: running }: SizedPool,
-    nowMs: number,
-  ): void {
+  function updateAccepted(state: PoolState, { scaling, present }: SizedPool, nowMs: number): void {
     for (const target of state.targets.values()) {
       const { dataCentre, isSpot, count } = target.request;
-      const local = running.find((each) => each.dataCentre === dataCentre);
+      const local = present.find((each) => each.dataCentre === dataCentre);
       const runningCount = (isSpot ? local?.spot : local?.lasting) ?? 0;
       const isOverdue = nowMs - target.answeredMs > scaling.bootMs + BOOT_GRACE_MS;
       if (target.isAccepted && runningCount < count && isOverdue) target.isAccepted = false;
@@ -185,9 +181,9 @@
   }
 
   function updatePool(load: SizedPool, isStale: boolean, nowMs: number): void {
-    const { pool, present: running } = load;
+    const { pool, present } = load;
     const state = getState(pool, nowMs);
-    if (!isStable(state, running, nowMs)) return;
+    if (!isStable(state, present, nowMs)) return;
     updateAccepted(state, load, nowMs);
     const input: SizingInput = { ...load, baseline: state.baseline ?? 0, peakCount: 0 };
     updatePeak(state, computeRequiredCount(input), nowMs);
@@ -245,8 +241,7 @@
     nowMs: number,
   ): ScalerCommand[] {
     if (version === undefined) {
-      for (const { pool, present: running } of pools)
-        isStable(getState(pool, nowMs), running, nowMs);
+      for (const { pool, present } of pools) isStable(getState(pool, nowMs), present, nowMs);
       if (isReading) return [];
       isReading = true;
       return [{ kind: 'read' }];
--- a/src/duties/pool-sizing.ts
+++ b/src/duties/pool-sizing.ts
@@ -52,8 +52,8 @@
 
 /** Number of endpoints that the load requires. */
 export function computeRequiredCount(input: SizingInput): number {
-  const { present: running, baseline, peakCount, backlogMs, targetMs } = input;
-  const runningCount = running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+  const { present, baseline, peakCount, backlogMs, targetMs } = input;
+  const runningCount = present.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
   const factor = Math.min(GROWTH_FACTOR_MAX, backlogMs / (targetMs * BACKLOG_TARGET_SHARE));
   const grown = factor > 1 ? Math.ceil(runningCount * factor) : 0;
   return Math.max(Math.ceil(baseline * HEADROOM_FACTOR), peakCount, grown);
@@ -73,19 +73,19 @@
  * spot endpoints replace them, because their caches are lost with them.
  */
 export function computeDesired(input: SizingInput): DesiredCount[] {
-  const { scaling, present: running } = input;
-  const dataCentres = running.length;
+  const { scaling, present } = input;
+  const dataCentres = present.length;
   if (dataCentres === 0 || !isSpotCheaper(scaling)) return [];
   const minOnDemand = Math.min(
     scaling.max,
     Math.max(scaling.min, Math.ceil((input.baseline * ON_DEMAND_SHARE_MIN) / dataCentres)),
   );
   const spot = computeSpotPerDataCentre(computeRequiredCount(input), minOnDemand, dataCentres);
-  const runningSpot = running.reduce((sum, each) => sum + each.spot, 0);
+  const runningSpot = present.reduce((sum, each) => sum + each.spot, 0);
   // Headroom above the baseline consists of spot endpoints only.
   const shortfall = Math.max(0, input.baseline - runningSpot);
   const targetOnDemand = Math.max(minOnDemand, Math.ceil(shortfall / dataCentres));
-  return running.map((each) => {
+  return present.map((each) => {
     const stepDownFloor = Math.floor(each.lasting * ON_DEMAND_REMAINING_SHARE);
     const lasting = Math.min(
       scaling.max,
--- a/src/duties/true-time.ts
+++ b/src/duties/true-time.ts
@@ -92,8 +92,8 @@
 
   return {
     recordSource: (sourceMs, receivedMs) => source.record(sourceMs, receivedMs),
-    recordTold({ trueMs: fleetMs, hops }, receivedMs) {
-      peers[hops]?.record(fleetMs, receivedMs);
+    recordTold({ trueMs, hops }, receivedMs) {
+      peers[hops]?.record(trueMs, receivedMs);
     },
     buildTold(monotonicMs) {
       const { offsetMs, hops } = getNearest(monotonicMs);
--- a/src/duties/usage-meter.test.ts
+++ b/src/duties/usage-meter.test.ts
@@ -127,11 +127,11 @@
 
   it('is complete once all active sources have passed the given time', (t) => {
     const aggregator = createHarness('a').meter;
-    const windows: UsageTelling['shares'] = [];
+    const shares: UsageTelling['shares'] = [];
     const source = { instance: 'b', incarnation: 1 };
-    aggregator.merge({ source, reachedMs: 4900, shares: windows }, 4900);
+    aggregator.merge({ source, reachedMs: 4900, shares }, 4900);
     t.false(aggregator.isComplete(5000, 4950));
-    aggregator.merge({ source, reachedMs: 5100, shares: windows }, 5100);
+    aggregator.merge({ source, reachedMs: 5100, shares }, 5100);
     t.true(aggregator.isComplete(5000, 5150));
     t.false(aggregator.isComplete(10_000, 10_000));
     // A silent instance is ignored after a timeout.
--- a/src/leases/lease.ts
+++ b/src/leases/lease.ts
@@ -102,9 +102,9 @@
 /** Creates a participant that does not hold the lease. */
 export function createLease({
   holder,
-  bounds: timings,
+  bounds,
   createWriteId,
-  drawDelay: computeJitter = () => 0,
+  drawDelay = () => 0,
 }: LeaseOptions): Lease {
   let observed: ObservedLease | undefined;
   let absentSinceMs: number | undefined;
@@ -123,7 +123,7 @@
   function computeRemainingMs(now: Moment): number {
     if (held === undefined) return 0;
     const ageMs = now.monotonicMs - held.grantedMs;
-    return timings.lengthMs - timings.safetyMs - ageMs;
+    return bounds.lengthMs - bounds.safetyMs - ageMs;
   }
 
   /**
@@ -134,7 +134,7 @@
     const offsetMs = now.wallMs - now.monotonicMs;
     const driftMs = Math.abs(offsetMs - (clockOffsetMs ?? offsetMs));
     clockOffsetMs = offsetMs;
-    if (driftMs > timings.safetyMs / 2) handlePaused();
+    if (driftMs > bounds.safetyMs / 2) handlePaused();
   }
 
   function postRead(now: Moment): void {
@@ -175,19 +175,19 @@
   function isFree(now: Moment): boolean {
     if (observed === undefined) {
       const absentMs = lastAbsentReadMs - (absentSinceMs ?? Infinity);
-      return absentMs >= timings.absentMs && now.monotonicMs - lastAbsentReadMs <= timings.readMs;
+      return absentMs >= bounds.absentMs && now.monotonicMs - lastAbsentReadMs <= bounds.readMs;
     }
     const { document } = observed.lease;
     const isReleasedByOther =
       document.isReleased && document.holder !== holder && !document.earlier.includes(holder);
     if (isReleasedByOther) return true;
-    const expiryMs = timings.lengthMs + timings.lapseMarginMs;
+    const expiryMs = bounds.lengthMs + bounds.lapseMarginMs;
     return now.monotonicMs - observed.observedMs > expiryMs + observed.jitterMs;
   }
 
   function checkWriteTimeout(now: Moment): void {
     if (pending === undefined) return;
-    if (now.monotonicMs - pending.sentMs < timings.callTimeoutMs) return;
+    if (now.monotonicMs - pending.sentMs < bounds.callTimeoutMs) return;
     unacknowledged = [pending, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
     pending = undefined;
     postRead(now);
@@ -199,9 +199,9 @@
   }
 
   function advanceHeld({ fence }: HeldLease, now: Moment): void {
-    const isDue = now.monotonicMs - lastWriteMs >= timings.renewMs;
+    const isDue = now.monotonicMs - lastWriteMs >= bounds.renewMs;
     if (isDue && observed !== undefined) postRenewal(fence, false, now);
-    else if (computeRemainingMs(now) <= 0 && now.monotonicMs - lastReadMs >= timings.readMs)
+    else if (computeRemainingMs(now) <= 0 && now.monotonicMs - lastReadMs >= bounds.readMs)
       postRead(now);
   }
 
@@ -212,20 +212,20 @@
       if (isWanted) advanceHeld(held, now);
       else postRelease(held, now);
     } else if (isWanted && isFree(now)) postTakeover(now);
-    else if (isWanted && now.monotonicMs - lastReadMs >= timings.readMs) postRead(now);
+    else if (isWanted && now.monotonicMs - lastReadMs >= bounds.readMs) postRead(now);
   }
 
   function recordObserved(lease: ReadLease, now: Moment): void {
     absentSinceMs = undefined;
     // Ignores stale reads, which would restart the expiry time.
     if (observed !== undefined && lease.version <= observed.lease.version) return;
-    observed = { lease, observedMs: now.monotonicMs, jitterMs: computeJitter() * timings.readMs };
+    observed = { lease, observedMs: now.monotonicMs, jitterMs: drawDelay() * bounds.readMs };
   }
 
   function setHeld({ document, expectedVersion, sentMs }: SentWrite, now: Moment): void {
     if (document.isReleased) return;
     const isRenewal = held?.fence === document.fence;
-    const takeoverDelayMs = expectedVersion === 0 ? 0 : timings.settlingMs;
+    const takeoverDelayMs = expectedVersion === 0 ? 0 : bounds.settlingMs;
     held = {
       fence: document.fence,
       grantedMs: sentMs,
@@ -251,27 +251,27 @@
   }
 
   function handleWritten(
-    { writeId, ending: result }: Extract<LeaseMessage, { kind: 'written' }>,
+    { writeId, ending }: Extract<LeaseMessage, { kind: 'written' }>,
     now: Moment,
   ): void {
     if (pending?.document.writeId !== writeId) return;
     const write = pending;
     pending = undefined;
-    switch (result.kind) {
+    switch (ending.kind) {
       case 'written':
-        recordObserved({ version: result.version, document: write.document }, now);
+        recordObserved({ version: ending.version, document: write.document }, now);
         setHeld(write, now);
         break;
       case 'conflict':
-        if (result.lease === undefined) postRead(now);
-        else handleDocument(result.lease, now);
+        if (ending.lease === undefined) postRead(now);
+        else handleDocument(ending.lease, now);
         break;
       case 'lost':
         unacknowledged = [write, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
         postRead(now);
         break;
       default:
-        assertNever(result);
+        assertNever(ending);
     }
   }
 
@@ -285,7 +285,7 @@
     if (observed !== undefined && message.newestVersion <= observed.lease.version) return;
     // The document counts as continuously missing only if reads succeeded throughout.
     const isContinuous =
-      now.monotonicMs - lastAbsentReadMs <= 2 * timings.readMs + timings.callTimeoutMs;
+      now.monotonicMs - lastAbsentReadMs <= 2 * bounds.readMs + bounds.callTimeoutMs;
     if (!isContinuous || absentSinceMs === undefined) absentSinceMs = now.monotonicMs;
     lastAbsentReadMs = now.monotonicMs;
     observed = undefined;
