--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -30,10 +30,9 @@
 
 /** Carries out the desired counts until they no longer change. */
 function runUntilStable(input: SizingInput): readonly PoolPresence[] {
-  let { present: running } = input;
-  for (let round = 0; round < 20; round += 1)
-    running = computeDesired({ ...input, present: running });
-  return running;
+  let { present } = input;
+  for (let round = 0; round < 20; round += 1) present = computeDesired({ ...input, present });
+  return present;
 }
 
 function countAll(running: readonly PoolPresence[]): number {
--- a/src/leases/lease-bounds.ts
+++ b/src/leases/lease-bounds.ts
@@ -44,16 +44,16 @@
  * @default isFirstStart false
  */
 export function resolveLeaseBounds(durationMs: number, isFirstStart = false): LeaseBounds {
-  const renewIntervalMs = durationMs / RENEWALS_PER_LEASE;
+  const renewMs = durationMs / RENEWALS_PER_LEASE;
   const expiryMarginMs = durationMs * EXPIRY_MARGIN_SHARE;
   return {
     lengthMs: durationMs,
-    renewMs: renewIntervalMs,
+    renewMs,
     lapseMarginMs: expiryMarginMs,
     absentMs: isFirstStart ? 0 : durationMs + expiryMarginMs,
     safetyMs: durationMs * SAFETY_MARGIN_SHARE,
     settlingMs: 0,
-    readMs: renewIntervalMs,
-    callTimeoutMs: renewIntervalMs,
+    readMs: renewMs,
+    callTimeoutMs: renewMs,
   };
 }
