--- a/src/leases/lease.ts
+++ b/src/leases/lease.ts
@@ -1,144 +1,144 @@
 /**
- * A lease in a store that writes under conditions, with a fencing number that only grows, free of I/O.
+ * A lease in a store with conditional writes, with a monotonically increasing fencing token.
+ * Performs no I/O.
  *
- * Others judge a lease lapsed when its document has not changed for longer than its length by their own
- * monotonic clock, so no two clocks are ever compared. The holder counts by its own from before it sent
- * its last write, and doubts it once its wall clock parts from it: a suspended machine's monotonic clock
- * may stand still.
+ * Other participants consider the lease expired when its document has not changed for the lease
+ * duration on their own monotonic clock, so clocks of different machines are never compared. The
+ * holder measures from before it sent its last write, and suspends its grant if its wall and
+ * monotonic clocks diverge, since a monotonic clock may stop while a machine is suspended.
  */
 import { assertNever } from '../utils/assert-never.js';
 import type { LeaseBounds } from './lease-bounds.js';
 import type { LeaseDocument, ReadLease } from './lease-document.js';
 
-/** Former holders that a document names. */
-const EARLIER_MAX = 4;
-/** Writes without an answer that are remembered: each may take effect late. */
-const UNANSWERED_MAX = 8;
+/** Previous holders recorded in a document. */
+const EARLIER_HOLDERS_MAX = 4;
+/** Lost writes that are remembered, since each may still take effect. */
+const UNACKNOWLEDGED_WRITES_MAX = 8;
 
-/** The clocks at one moment. */
+/** Both clocks, read at the same time. */
 export interface Moment {
   readonly monotonicMs: number;
   readonly wallMs: number;
 }
 
-/** How a write ended. */
-export type WriteEnding =
-  /** `version`: the document's, now. */
+/** Outcome of a write. */
+export type WriteResult =
+  /** `version`: the new version of the document. */
   | { readonly kind: 'written'; readonly version: number }
-  /** The document was at another version; `lease`: as it is, where the store says. */
+  /** The stored version differed; `lease`: the stored document, if the store returned it. */
   | { readonly kind: 'conflict'; readonly lease: ReadLease | undefined }
-  /** No answer: it may have been done, or may be done later. */
+  /** No response: the write may have been applied, or may still be. */
   | { readonly kind: 'lost' };
 
-/** What a lease is told. */
+/** Input to a lease. */
 export type LeaseMessage =
-  /** Who holds the lease and does not want it any more gives it up: nothing may be on its way then. */
+  /** If not wanted, a held lease is released: the holder must have no calls in flight. */
   | { readonly kind: 'tick'; readonly isWanted: boolean }
-  /** `newestVersion`: no document of this lease was ever written at a later one. */
+  /** `newestVersion`: upper bound of the versions at which this lease was ever written. */
   | {
       readonly kind: 'read';
       readonly lease: ReadLease | undefined;
       readonly newestVersion: number;
     }
-  | { readonly kind: 'written'; readonly writeId: string; readonly ending: WriteEnding }
-  /** The process did not run, or its clocks parted. */
+  | { readonly kind: 'written'; readonly writeId: string; readonly ending: WriteResult }
+  /** The process was paused, or its clocks diverged. */
   | { readonly kind: 'paused' };
 
-/** What a lease asks for. */
+/** Requests from a lease to its caller. */
 export type LeaseCommand =
   | { readonly kind: 'read' }
   | { readonly kind: 'write'; readonly document: LeaseDocument; readonly expectedVersion: number };
 
-/** What the holder may do now. */
+/** Permission to act as the holder. */
 export interface Grant {
-  /** Goes with each call; of two calls the one with the higher number is the later. */
+  /** Fencing token: sent with each call; a higher token belongs to a later holder. */
   readonly fence: number;
-  /** Whatever is begun has to have ended after this long, in milliseconds. */
+  /** Time by which calls started now must have ended, in milliseconds from now. */
   readonly leftMs: number;
 }
 
-/** One instance's part in a lease. */
+/** One participant in a lease. */
 export interface Lease {
   handle(message: LeaseMessage, now: Moment): LeaseCommand[];
-  /** Undefined where nothing may be begun. */
+  /** Undefined if this participant must not start any call. */
   getGrant(now: Moment): Grant | undefined;
-  /** The document that was seen last. */
-  getSeen(): LeaseDocument | undefined;
+  /** The document last observed. */
+  getLastDocument(): LeaseDocument | undefined;
 }
 
-/** What an instance's part is built on. */
 export interface LeaseOptions {
-  /** The machine: a process that starts again there takes part under the same name. */
+  /** Machine name; a restarted process takes part under the same name. */
   readonly holder: string;
   readonly bounds: LeaseBounds;
   readonly createWriteId: () => string;
   /**
-   * How much longer this instance waits before it takes over, from 0 to 1 of a reading's period.
+   * Extra wait before a takeover, as a share (0 to 1) of the read interval.
    * @default 0
    */
   readonly drawDelay?: () => number;
 }
 
-interface Write {
+interface SentWrite {
   readonly document: LeaseDocument;
   readonly expectedVersion: number;
-  /** On the monotonic clock; long ago where that clock may have stood still since. */
+  /** On the monotonic clock; minus infinity if that clock may have stopped since. */
   readonly sentMs: number;
 }
 
-interface Held {
+interface HeldLease {
   readonly fence: number;
-  readonly sinceMs: number;
+  readonly grantedMs: number;
   readonly usableFromMs: number;
 }
 
-interface Seen {
+interface ObservedLease {
   readonly lease: ReadLease;
-  readonly sinceMs: number;
-  /** Drawn for each document, so that those who wait do not ask at one moment. */
-  readonly delayMs: number;
+  readonly observedMs: number;
+  /** Drawn per document, so that waiting participants do not take over at the same time. */
+  readonly jitterMs: number;
 }
 
-/** Builds an instance's part in a lease that it does not hold. */
+/** Creates a participant that does not hold the lease. */
 export function createLease({
   holder,
   bounds,
   createWriteId,
   drawDelay = () => 0,
 }: LeaseOptions): Lease {
-  let seen: Seen | undefined;
+  let observed: ObservedLease | undefined;
   let absentSinceMs: number | undefined;
   let newestVersion = 0;
-  let pending: Write | undefined;
-  let unanswered: Write[] = [];
-  let held: Held | undefined;
-  let readMs = -Infinity;
-  /** When a reading last found no document. */
-  let answeredMs = -Infinity;
-  let writtenMs = -Infinity;
+  let pending: SentWrite | undefined;
+  let unacknowledged: SentWrite[] = [];
+  let held: HeldLease | undefined;
+  let lastReadMs = -Infinity;
+  /** When a read last found no document. */
+  let lastAbsentReadMs = -Infinity;
+  let lastWriteMs = -Infinity;
   let commands: LeaseCommand[] = [];
-  /** Of the wall clock from the monotonic one, at the last look. */
-  let clockDifferenceMs: number | undefined;
+  /** Wall clock minus monotonic clock, when last checked. */
+  let clockOffsetMs: number | undefined;
 
-  function computeLeft(now: Moment): number {
+  function computeRemainingMs(now: Moment): number {
     if (held === undefined) return 0;
-    const age = now.monotonicMs - held.sinceMs;
-    return bounds.lengthMs - bounds.safetyMs - age;
+    const ageMs = now.monotonicMs - held.grantedMs;
+    return bounds.lengthMs - bounds.safetyMs - ageMs;
   }
 
   /**
-   * Doubts the grant until the next renewal once the clocks have parted: after a suspension the monotonic
-   * clock says too little, and a later step of the time of day would hide it again.
+   * Suspends the grant until the next renewal if the clocks have diverged. The monotonic clock may
+   * have stopped during a suspension, and a later step of the wall clock could hide it.
    */
   function checkClocks(now: Moment): void {
-    const differenceMs = now.wallMs - now.monotonicMs;
-    const driftMs = Math.abs(differenceMs - (clockDifferenceMs ?? differenceMs));
-    clockDifferenceMs = differenceMs;
+    const offsetMs = now.wallMs - now.monotonicMs;
+    const driftMs = Math.abs(offsetMs - (clockOffsetMs ?? offsetMs));
+    clockOffsetMs = offsetMs;
     if (driftMs > bounds.safetyMs / 2) handlePaused();
   }
 
   function postRead(now: Moment): void {
-    readMs = now.monotonicMs;
+    lastReadMs = now.monotonicMs;
     commands.push({ kind: 'read' });
   }
 
@@ -147,100 +147,106 @@
     now: Moment,
   ): void {
     const document: LeaseDocument = { holder, writeId: createWriteId(), ...fields };
-    pending = { document, expectedVersion: seen?.lease.version ?? 0, sentMs: now.monotonicMs };
-    writtenMs = now.monotonicMs;
+    pending = { document, expectedVersion: observed?.lease.version ?? 0, sentMs: now.monotonicMs };
+    lastWriteMs = now.monotonicMs;
     commands.push({ kind: 'write', document, expectedVersion: pending.expectedVersion });
   }
 
   function postRenewal(fence: number, isReleased: boolean, now: Moment): void {
-    postWrite({ fence, earlier: seen?.lease.document.earlier ?? [], isReleased }, now);
+    postWrite({ fence, earlier: observed?.lease.document.earlier ?? [], isReleased }, now);
   }
 
   /**
-   * Numbers are drawn from the versions of the store, which grow by themselves. Guards against numbers
-   * that begin anew after the document was lost: engines and others would take old orders for new ones.
+   * Derives the fencing token from the store's versions, which keep increasing if the document is
+   * lost. Guards against reused tokens, which would let receivers accept outdated calls.
    */
   function postTakeover(now: Moment): void {
-    const before = seen?.lease.document;
-    const fence = Math.max(newestVersion, seen?.lease.version ?? 0, before?.fence ?? 0) + 1;
-    const earlier = before === undefined ? [] : [before.holder, ...before.earlier];
-    postWrite({ fence, earlier: earlier.slice(0, EARLIER_MAX), isReleased: false }, now);
+    const previous = observed?.lease.document;
+    const fence = Math.max(newestVersion, observed?.lease.version ?? 0, previous?.fence ?? 0) + 1;
+    const earlier = previous === undefined ? [] : [previous.holder, ...previous.earlier];
+    postWrite({ fence, earlier: earlier.slice(0, EARLIER_HOLDERS_MAX), isReleased: false }, now);
   }
 
   /**
-   * Whether the document may be replaced. One that was given up is free at once, but not for those who
-   * held it lately. Guards against a machine that acts again right after its successor: who watches from
-   * outside sees two holders at one time.
+   * Whether the lease can be taken over. A released lease is free at once, except for its recent
+   * holders. Guards against a machine that acts again right after its successor, which looks like
+   * two concurrent holders.
    */
   function isFree(now: Moment): boolean {
-    if (seen === undefined) {
-      const absentMs = answeredMs - (absentSinceMs ?? Infinity);
-      return absentMs >= bounds.absentMs && now.monotonicMs - answeredMs <= bounds.readMs;
+    if (observed === undefined) {
+      const absentMs = lastAbsentReadMs - (absentSinceMs ?? Infinity);
+      return absentMs >= bounds.absentMs && now.monotonicMs - lastAbsentReadMs <= bounds.readMs;
     }
-    const { document } = seen.lease;
-    const isHandedOn =
+    const { document } = observed.lease;
+    const isReleasedByOther =
       document.isReleased && document.holder !== holder && !document.earlier.includes(holder);
-    if (isHandedOn) return true;
-    const lapsesAfterMs = bounds.lengthMs + bounds.lapseMarginMs;
-    return now.monotonicMs - seen.sinceMs > lapsesAfterMs + seen.delayMs;
+    if (isReleasedByOther) return true;
+    const expiryMs = bounds.lengthMs + bounds.lapseMarginMs;
+    return now.monotonicMs - observed.observedMs > expiryMs + observed.jitterMs;
   }
 
-  function removeOverdue(now: Moment): void {
+  function checkWriteTimeout(now: Moment): void {
     if (pending === undefined) return;
     if (now.monotonicMs - pending.sentMs < bounds.callTimeoutMs) return;
-    unanswered = [pending, ...unanswered].slice(0, UNANSWERED_MAX);
+    unacknowledged = [pending, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
     pending = undefined;
     postRead(now);
   }
 
-  function postRelease({ fence }: Held, now: Moment): void {
+  function postRelease({ fence }: HeldLease, now: Moment): void {
     held = undefined;
     postRenewal(fence, true, now);
   }
 
-  function advanceHeld({ fence }: Held, now: Moment): void {
-    const isDue = now.monotonicMs - writtenMs >= bounds.renewMs;
-    if (isDue && seen !== undefined) postRenewal(fence, false, now);
-    else if (computeLeft(now) <= 0 && now.monotonicMs - readMs >= bounds.readMs) postRead(now);
+  function advanceHeld({ fence }: HeldLease, now: Moment): void {
+    const isDue = now.monotonicMs - lastWriteMs >= bounds.renewMs;
+    if (isDue && observed !== undefined) postRenewal(fence, false, now);
+    else if (computeRemainingMs(now) <= 0 && now.monotonicMs - lastReadMs >= bounds.readMs)
+      postRead(now);
   }
 
   function handleTick(isWanted: boolean, now: Moment): void {
-    removeOverdue(now);
+    checkWriteTimeout(now);
     if (pending !== undefined) return;
     if (held !== undefined) {
       if (isWanted) advanceHeld(held, now);
       else postRelease(held, now);
     } else if (isWanted && isFree(now)) postTakeover(now);
-    else if (isWanted && now.monotonicMs - readMs >= bounds.readMs) postRead(now);
+    else if (isWanted && now.monotonicMs - lastReadMs >= bounds.readMs) postRead(now);
   }
 
-  function recordSeen(lease: ReadLease, now: Moment): void {
+  function recordObserved(lease: ReadLease, now: Moment): void {
     absentSinceMs = undefined;
-    // An older version is a stale read: taking it for a change would only delay a takeover.
-    if (seen !== undefined && lease.version <= seen.lease.version) return;
-    seen = { lease, sinceMs: now.monotonicMs, delayMs: drawDelay() * bounds.readMs };
+    // Ignores stale reads, which would restart the expiry time.
+    if (observed !== undefined && lease.version <= observed.lease.version) return;
+    observed = { lease, observedMs: now.monotonicMs, jitterMs: drawDelay() * bounds.readMs };
   }
 
-  function setHeld({ document, expectedVersion, sentMs }: Write, now: Moment): void {
+  function setHeld({ document, expectedVersion, sentMs }: SentWrite, now: Moment): void {
     if (document.isReleased) return;
     const isRenewal = held?.fence === document.fence;
-    const settlingMs = expectedVersion === 0 ? 0 : bounds.settlingMs;
+    const takeoverDelayMs = expectedVersion === 0 ? 0 : bounds.settlingMs;
     held = {
       fence: document.fence,
-      sinceMs: sentMs,
-      // Guards against an order of the last holder still on its way to an engine that ignores
-      // fencing numbers: it shows as an old order undoing a new one. By then it has arrived.
-      usableFromMs: isRenewal ? (held?.usableFromMs ?? 0) : now.monotonicMs + settlingMs,
+      grantedMs: sentMs,
+      // Guards against an order of the previous holder that is still in flight to an engine that
+      // does not check fencing tokens and would undo a newer one.
+      usableFromMs: isRenewal ? (held?.usableFromMs ?? 0) : now.monotonicMs + takeoverDelayMs,
     };
   }
 
-  /** Takes a document as the newest; one that this instance wrote without an answer is its own. */
-  function handleLease(lease: ReadLease, now: Moment): void {
-    const isNews = seen === undefined || lease.version > seen.lease.version;
-    recordSeen(lease, now);
-    if (!isNews) return;
-    const own = unanswered.find(({ document }) => document.writeId === lease.document.writeId);
-    if (own !== undefined) setHeld(own, now);
+  /**
+   * Applies a newly observed document; recognises writes of this participant whose response was
+   * lost.
+   */
+  function handleDocument(lease: ReadLease, now: Moment): void {
+    const isNewer = observed === undefined || lease.version > observed.lease.version;
+    recordObserved(lease, now);
+    if (!isNewer) return;
+    const ownWrite = unacknowledged.find(
+      ({ document }) => document.writeId === lease.document.writeId,
+    );
+    if (ownWrite !== undefined) setHeld(ownWrite, now);
     else if (lease.document.fence !== held?.fence) held = undefined;
   }
 
@@ -253,15 +259,15 @@
     pending = undefined;
     switch (ending.kind) {
       case 'written':
-        recordSeen({ version: ending.version, document: write.document }, now);
+        recordObserved({ version: ending.version, document: write.document }, now);
         setHeld(write, now);
         break;
       case 'conflict':
         if (ending.lease === undefined) postRead(now);
-        else handleLease(ending.lease, now);
+        else handleDocument(ending.lease, now);
         break;
       case 'lost':
-        unanswered = [write, ...unanswered].slice(0, UNANSWERED_MAX);
+        unacknowledged = [write, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
         postRead(now);
         break;
       default:
@@ -272,25 +278,28 @@
   function handleRead(message: Extract<LeaseMessage, { kind: 'read' }>, now: Moment): void {
     newestVersion = Math.max(newestVersion, message.newestVersion);
     if (message.lease !== undefined) {
-      handleLease(message.lease, now);
+      handleDocument(message.lease, now);
       return;
     }
-    // A document that is gone belongs to nobody; a read that lags behind an own write says nothing.
-    if (seen !== undefined && message.newestVersion <= seen.lease.version) return;
-    // What was read before a time without any answer says nothing of that time.
-    const isContinued = now.monotonicMs - answeredMs <= 2 * bounds.readMs + bounds.callTimeoutMs;
-    if (!isContinued || absentSinceMs === undefined) absentSinceMs = now.monotonicMs;
-    answeredMs = now.monotonicMs;
-    seen = undefined;
+    // No document means no holder, unless the read is older than this participant's last write.
+    if (observed !== undefined && message.newestVersion <= observed.lease.version) return;
+    // The document counts as continuously missing only if reads succeeded throughout.
+    const isContinuous =
+      now.monotonicMs - lastAbsentReadMs <= 2 * bounds.readMs + bounds.callTimeoutMs;
+    if (!isContinuous || absentSinceMs === undefined) absentSinceMs = now.monotonicMs;
+    lastAbsentReadMs = now.monotonicMs;
+    observed = undefined;
     held = undefined;
   }
 
   function handlePaused(): void {
-    // What was on its way belongs to the time before: it may have been done, or may be done later.
-    const writes = pending === undefined ? unanswered : [pending, ...unanswered];
-    unanswered = writes.slice(0, UNANSWERED_MAX).map((write) => ({ ...write, sentMs: -Infinity }));
+    // Pending writes may have been applied, or may still be.
+    const writes = pending === undefined ? unacknowledged : [pending, ...unacknowledged];
+    unacknowledged = writes
+      .slice(0, UNACKNOWLEDGED_WRITES_MAX)
+      .map((write) => ({ ...write, sentMs: -Infinity }));
     pending = undefined;
-    if (held !== undefined) held = { ...held, sinceMs: -Infinity };
+    if (held !== undefined) held = { ...held, grantedMs: -Infinity };
   }
 
   return {
@@ -318,9 +327,9 @@
     getGrant(now) {
       checkClocks(now);
       if (held === undefined || now.monotonicMs < held.usableFromMs) return undefined;
-      const leftMs = computeLeft(now);
-      return leftMs > 0 ? { fence: held.fence, leftMs } : undefined;
+      const remainingMs = computeRemainingMs(now);
+      return remainingMs > 0 ? { fence: held.fence, leftMs: remainingMs } : undefined;
     },
-    getSeen: () => seen?.lease.document,
+    getLastDocument: () => observed?.lease.document,
   };
 }
