--- a/src/quarantine/case-ledger.test.ts
+++ b/src/quarantine/case-ledger.test.ts
@@ -9,7 +9,7 @@
 const ORGANISATION = 7;
 const DAY_MS = 24 * 60 * 60 * 1000;
 
-/** A crash whose content was sent `sentMs` before it. */
+/** A crash of an endpoint to which the content was sent at `sentMs`. */
 function buildCrash(content: string, start: number, crashedMs: number, sentMs: number): FoundCrash {
   return { content, organisation: ORGANISATION, start, sentMs, crashedMs };
 }
@@ -19,7 +19,7 @@
   return subject === undefined ? STANDING.Clear : computeStanding(subject);
 }
 
-/** Crashes one after the other, each of a run that began after the one before. */
+/** Records successive crashes, each of a run that began after the previous crash. */
 function recordInTurn(ledger: CaseLedger, content: string, starts: readonly number[]): void {
   starts.forEach((start, index) => {
     const crashedMs = 1000 * (index + 1);
@@ -27,7 +27,7 @@
   });
 }
 
-/** What is known, whatever the order in which it was learned. */
+/** Describes evidence independently of the order in which it was learned. */
 function describeEvidence({ content, strikes, cleared }: CrashCase): string {
   const counted = [...strikes.keys()].sort((a, b) => a - b).join(',');
   return `${content}: ${counted} without ${[...cleared].sort((a, b) => a - b).join(',')}`;
@@ -44,8 +44,8 @@
       t.deepEqual(standings, [STANDING.Suspect, STANDING.LastTrial, STANDING.Condemned]);
     });
 
-    // Three engines lose power together, and a popular request ran on each. It must not be refused for
-    // one moment's loss: one more run decides.
+    // Guards against refusing a popular request because several endpoints that ran it lost power
+    // together: one more run must decide.
     it('is not condemned by crashes of one moment, only by another run after them', (t) => {
       const ledger = createCaseLedger();
       for (const start of [1, 2, 3, 4]) ledger.recordCrash(buildCrash('x', start, 1000, 900), 1000);
@@ -72,8 +72,8 @@
       t.is(getStanding(ledger, 'x'), STANDING.Suspect);
     });
 
-    // A data centre is cut off by resets: connections to its engines are refused as if they had ended,
-    // and everything that ran across the cut is blamed. The engines go on answering those beside them.
+    // Guards against blaming contents for a network partition, where connections are refused
+    // although the endpoints keep running.
     it('is clear again when the endpoint answers what was sent to it later', (t) => {
       const ledger = createCaseLedger();
       ledger.recordCrash(buildCrash('x', 1, 1000, 900), 1000);
@@ -129,8 +129,8 @@
   });
 
   block('popular requests', ({ it }) => {
-    // Aim: nobody's requests are refused for what another's did. Each crash takes a random part of the
-    // popular requests with it; each of them comes to a whole answer somewhere between two crashes.
+    // Guards against refusing one organisation's requests for crashes that another's caused: each
+    // popular request completes somewhere between two crashes.
     it('are never condemned while they come to whole answers between crashes', (t) => {
       const crash = fc.array(fc.integer({ min: 0, max: 9 }), { minLength: 1, maxLength: 10 });
       fc.assert(
@@ -154,7 +154,8 @@
   });
 
   block('its memory', ({ it }) => {
-    // Someone sends ever new requests under which engines end: the cases of others must not give way.
+    // Guards against one organisation evicting the others' cases by sending many different crashing
+    // requests.
     it('is bounded, and one organisation pushes out only its own cases', (t) => {
       const ledger = createCaseLedger();
       recordInTurn(ledger, 'theirs', [1, 2, 3]);
--- a/src/quarantine/case-ledger.ts
+++ b/src/quarantine/case-ledger.ts
@@ -1,37 +1,41 @@
-/** The cases of one instance, its own findings merged with what others tell. Free of I/O and bounded. */
+/**
+ * Crash cases known to one instance, merged from its own findings and its peers' reports. Does no
+ * I/O; bounded in size.
+ */
 import type { ContentId } from '../calls/content-id.js';
 import type { EndpointKey } from '../placement/told-loads.js';
 import { STANDING, computeStanding } from './crash-case.js';
 import type { CrashCase, OrganisationKey, Standing, Strike } from './crash-case.js';
 
-/** A case that nothing was heard of for this long is forgotten, in milliseconds: a day, by when an operator has seen it. */
+/** Long enough for an operator to see a case. */
 const LIFE_MS = 24 * 60 * 60 * 1000;
-/** Cleared cases are kept this long, in milliseconds, for instances that were cut off and still tell of their crashes. */
+/** Long enough for late reports of cleared crashes from instances that were partitioned. */
 const CLEARED_LIFE_MS = 10 * 60 * 1000;
-/** Cases that are kept: 4 MB of memory. */
+/** About 4 MB of memory. */
 const CASES_MAX = 4096;
 /**
- * Those of one organisation.
- *
- * Guards against an organisation that sends ever new contents under which endpoints crash: it would push
- * out the cases of others, which then come again.
+ * Guards against one organisation evicting the others' cases by sending many different crashing
+ * contents.
  */
 const ORGANISATION_CASES_MAX = 512;
-/** Crashes that are kept of one content. */
+/** Per content. */
 const STRIKES_MAX = 12;
-/** Crashes of one content that are remembered as cleared; the oldest give way, of which nobody tells any more. */
+/** Per content; the oldest are dropped first. */
 const CLEARED_MAX = 16;
 
-/** Crashes that a told case needs where no room is left, so that instances do not push out each other's cases in turn. */
+/**
+ * Minimum for accepting a reported case when full, so that instances do not keep evicting each
+ * other's cases.
+ */
 const TOLD_STRIKES_MIN = 2;
 
-/** A crash at which contents of this instance's calls ran. */
+/** A crash found by this instance, with a content that was running on the endpoint. */
 export interface FoundCrash extends Strike {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
 }
 
-/** A case as an instance tells it, in milliseconds before or after the telling. */
+/** A case as instances report it to each other, with times relative to the report. */
 export interface ToldCase {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
@@ -44,32 +48,37 @@
   readonly trial: { readonly start: EndpointKey; readonly leftMs: number } | undefined;
 }
 
-/** A case whose standing or evidence changed. */
+/** A case whose evidence changed, with its standing before and after. */
 export interface CaseChange {
   readonly subject: CrashCase;
   readonly before: Standing;
   readonly standing: Standing;
 }
 
-/** The cases. Changes are returned where something new was learned. */
+/** Crash cases by content. Methods that learn something new return what changed. */
 export interface CaseLedger {
   isEmpty(): boolean;
   find(content: ContentId): CrashCase | undefined;
   list(): readonly CrashCase[];
   recordCrash(crash: FoundCrash, nowMs: number): CaseChange | undefined;
-  /** The content ran to a whole answer, or an operator says so: its crashes were others' doing. */
+  /** Clears all crashes of a content, because it ran to completion or an operator released it. */
   release(content: ContentId, nowMs: number): CaseChange | undefined;
-  /** The endpoint answered what was sent to it at `sentMs`: it had not crashed before. */
+  /**
+   * Clears crashes of a start that has answered a request sent at `sentMs`, after the recorded
+   * crash.
+   */
   releaseStart(start: EndpointKey, sentMs: number, nowMs: number): CaseChange[];
   merge(told: ToldCase, nowMs: number): CaseChange | undefined;
-  /** Forgets old cases. */
+  /** Drops expired cases. */
   advance(nowMs: number): void;
 }
 
-/** Builds a ledger without cases. */
 export function createCaseLedger(): CaseLedger {
   const cases = new Map<ContentId, CrashCase>();
-  /** Which contents each crash speaks against: looked up at every answer while there are cases. */
+  /**
+   * Contents by the start whose crash counts against them; looked up for every answer while there
+   * are cases.
+   */
   const contentsOfStart = new Map<EndpointKey, Set<ContentId>>();
 
   function countOf(organisation: OrganisationKey): number {
@@ -87,7 +96,7 @@
     for (const start of strikes.keys()) removeStart(start, content);
   }
 
-  /** Whoever has the most cases gives way, with the one that says least. */
+  /** Evicts the case with the fewest crashes; among equals, the least recently used. */
   function removeLeast(organisation: OrganisationKey | undefined): void {
     const [least] = [...cases.values()]
       .filter((other) => organisation === undefined || other.organisation === organisation)
@@ -139,7 +148,7 @@
     return true;
   }
 
-  /** Applies a change and says what it came to; nothing where it brought nothing new. */
+  /** Applies a change; returns undefined if it brought nothing new. */
   function update(subject: CrashCase, nowMs: number, apply: () => boolean): CaseChange | undefined {
     const before = computeStanding(subject);
     if (!apply()) return undefined;
--- a/src/quarantine/case-news.test.ts
+++ b/src/quarantine/case-news.test.ts
@@ -1,4 +1,4 @@
-/** Plays how long what one instance learns of a content is on its way to the last of a fleet. */
+/** Measures in simulation how long a new crash case takes to reach every instance of a fleet. */
 import { ACCEPTANCE } from './crash-detector.js';
 import { createRouteStandings } from '../routes/route-standing.js';
 import { createActor, createVirtualTime } from '../soak/virtual-time.js';
@@ -9,16 +9,16 @@
 import { describe } from '../test/describe.js';
 import { createRandom } from '../utils/random.js';
 
-/** Time for the fleet to find itself, in milliseconds. */
+/** Time for the instances to discover each other. */
 const SETTLING_MS = 8000;
 const SEEDS = [1, 2, 3];
 const STEP_MS = 10;
-/** The shortest time after which an instance in touch has to know, in milliseconds. */
+/** Time within which every connected instance must know of a crash. */
 const CONTACT_MS = 3000;
-/** Part of that time that news may take: the rest is for an engine's end to be seen. */
+/** Share of that time allowed for propagation; the rest is for detecting the crash. */
 const NEWS_SHARE = 0.5;
 
-/** How long news of one instance takes to the last of a fleet, in milliseconds. */
+/** Milliseconds until the last instance knows a case that one instance found. */
 async function runNews(count: number, dataCentres: number, seed: number): Promise<number> {
   const time = createVirtualTime();
   const network = createPlayedNetwork(time, createRandom(seed));
@@ -58,7 +58,6 @@
   );
   const isKnown = ({ quarantine }: PlayedInstance): boolean => quarantine.list().length > 0;
   while (!instances.every(isKnown) && time.getNow() < SETTLING_MS + 10 * CONTACT_MS) {
-    // Each step follows the one before.
     // eslint-disable-next-line no-await-in-loop
     await time.runUntil(time.getNow() + STEP_MS);
   }
@@ -67,7 +66,7 @@
 }
 
 describe('news of a content under which an engine ended', ({ it }) => {
-  // An instance that has not heard sends the same request to the next engine.
+  // Guards against an uninformed instance sending the same request to another endpoint.
   for (const { count, dataCentres } of [
     { count: 7, dataCentres: 3 },
     { count: 70, dataCentres: 3 },
--- a/src/quarantine/case-outbox.test.ts
+++ b/src/quarantine/case-outbox.test.ts
@@ -25,8 +25,8 @@
     t.is(told, 4);
   });
 
-  // An instance starts anew while the fleet holds hundreds of cases: it must hear of what it must not
-  // send within a moment, and of all the rest in time.
+  // Guards against a new instance sending a condemned request before it has learned of the case
+  // from a large backlog.
   it('tells the condemned every second and everything in turn', (t) => {
     const ledger = createCaseLedger();
     const outbox = createCaseOutbox();
--- a/src/quarantine/case-outbox.ts
+++ b/src/quarantine/case-outbox.ts
@@ -1,31 +1,29 @@
 /**
- * Which cases an instance tells others, and when, free of I/O. What is new is told several times in short
- * order, since datagrams are lost; the rest in turn, the worst first, for instances that have just started.
+ * Chooses which cases are reported to peers and when; does no I/O. Changed cases are repeated,
+ * since datagrams are lost; all others are sent in rotation, for instances that have just started.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { ToldCase } from './case-ledger.js';
 import { STANDING, computeStanding } from './crash-case.js';
 import type { CrashCase } from './crash-case.js';
 
-/** News is told again after this long, in milliseconds. */
+/** Interval between repeats of a changed case. */
 const NEWS_PERIOD_MS = 200;
-/** Times that news is told: of one datagram in a hundred lost, one in 10^8 is not heard. */
+/** Number of times a changed case is sent. */
 const NEWS_TELLINGS = 4;
-/** What is no news is told this often, in milliseconds: an instance that has just started knows the worst within a moment. */
+/** Interval between batches of unchanged cases. */
 const REST_PERIOD_MS = 1000;
-/** Cases told at once: they fit an Ethernet frame. */
+/** Cases per datagram, so that it fits an Ethernet frame. */
 const CASES_MAX = 14;
 const REST_MAX = 6;
 
-/** Chooses what is told. */
 export interface CaseOutbox {
-  /** Something new was learned of a content. */
+  /** Schedules a content's case for sending, after it changed. */
   recordNews(content: ContentId): void;
-  /** It is time to tell; what of, if anything. */
+  /** Returns the cases that are due to be sent now. */
   take(cases: readonly CrashCase[], nowMs: number): ToldCase[];
 }
 
-/** A case as it is told now. */
 export function buildToldCase(subject: CrashCase, nowMs: number): ToldCase {
   const { content, organisation, strikes, cleared, trial } = subject;
   return {
@@ -48,7 +46,6 @@
   return b.strikes.size - a.strikes.size || b.changedMs - a.changedMs;
 }
 
-/** Builds an outbox without news. */
 export function createCaseOutbox(): CaseOutbox {
   const tellingsLeft = new Map<ContentId, number>();
   let newsMs = -Infinity;
@@ -70,7 +67,7 @@
     return news;
   }
 
-  /** Half of what is told in turn is the worst there is, the other half goes round. */
+  /** Condemned cases fill at most half of a batch; the rest rotates through all cases. */
   function takeRest(cases: readonly CrashCase[], nowMs: number): CrashCase[] {
     if (cases.length === 0 || nowMs - restMs < REST_PERIOD_MS) return [];
     restMs = nowMs;
--- a/src/quarantine/case-rows.test.ts
+++ b/src/quarantine/case-rows.test.ts
@@ -37,8 +37,7 @@
 }
 
 describe('case rows', ({ it }) => {
-  // All instances are restarted at once, and the request that had ended three engines comes again: it
-  // must be refused by instances that have never seen it.
+  // Guards against forgetting condemned requests when all instances restart at once.
   it('condemn a content at instances that know nothing', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
@@ -74,8 +73,8 @@
     timers.stop();
   });
 
-  // An operator released a request a day ago. Instances read that row every minute: it must not undo what
-  // they have found since, or the request would end engines for ever, two in each minute.
+  // Guards against an old release, which is read again every minute, clearing crashes that were
+  // found after it.
   it('release a content from the crashes they name only', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
--- a/src/quarantine/case-rows.ts
+++ b/src/quarantine/case-rows.ts
@@ -1,7 +1,7 @@
 /**
- * Condemned contents as rows that outlast all instances. Guards against forgetting when every instance is
- * restarted at once, which shows as three more endpoints lost to each of them. Who condemns writes; the
- * instances that follow the source read, and tell the others.
+ * Stores condemned contents, so that they survive a restart of all instances at once. The instance
+ * that condemns a content writes its row; instances that follow the source read the rows and report
+ * them to their peers.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { EndpointKey } from '../placement/told-loads.js';
@@ -9,58 +9,56 @@
 import type { ToldCase } from './case-ledger.js';
 import type { CrashCase, OrganisationKey } from './crash-case.js';
 
-/** Rows are read again after this long, in milliseconds: condemned contents travel among instances, and rows only fill gaps. */
+/** Long, since peers exchange cases directly and rows only fill gaps. */
 const READ_PERIOD_MS = 60_000;
-/** A row that was not taken is written again after this long, in milliseconds. */
+/** Also the retry interval for rows that could not be written. */
 const WRITE_PERIOD_MS = 1000;
-/** Rows that wait to be written; the oldest give way. */
+/** Rows waiting to be written; the oldest are dropped first. */
 const UNWRITTEN_MAX = 64;
-/** Between the crashes of a case that was read, in milliseconds: all that counts is that they came one after the other. */
+/** Assumed interval between the crashes of a stored case, since rows hold no times. */
 const READ_SPACING_MS = 1000;
 
-/** What a row says of its content. */
 export const CASE_STATE = { Condemned: 'condemned', Released: 'released' } as const;
 export type CaseState = (typeof CASE_STATE)[keyof typeof CASE_STATE];
 
-/** One row. */
 export interface CaseRow {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
   readonly starts: readonly EndpointKey[];
   readonly state: CaseState;
-  /** Who released it and why; empty where instances decided. */
+  /** The operator who released the content; empty if an instance decided. */
   readonly who: string;
   readonly reason: string;
 }
 
-/** Where rows are kept. */
 export interface CaseStore {
-  /** Undefined where it cannot be read now. */
+  /** Undefined if the store cannot be read. */
   list(): Promise<readonly CaseRow[] | undefined>;
-  /** False where it did not say that it took the row. */
+  /** False if the store did not confirm the write. */
   set(row: CaseRow): Promise<boolean>;
-  /** Takes the fleet's only lease of a content's trial; false where it is taken, or the store cannot tell. */
+  /**
+   * Takes the fleet-wide lease on a content's trial; false if it is held or the store does not
+   * answer.
+   */
   takeTrialLease(content: ContentId): Promise<boolean>;
 }
 
-/** What the rows are built on. */
 export interface CaseRowsOptions {
   readonly store: CaseStore;
   readonly timers: TimerService;
-  /** A row was read: what it says of its content, as a peer would tell it. */
+  /** Called for each row that was read, in the form of a peer's report. */
   readonly onTold: (told: ToldCase) => void;
 }
 
-/** The rows as one instance sees them. */
 export interface CaseRows {
   add(subject: CrashCase, state: CaseState, who: string, reason: string): void;
-  /** Whether this instance follows the source: then it reads. */
+  /** Enables reading, for an instance that follows the source. */
   setReading(isReading: boolean): void;
 }
 
 /**
- * What a row says as a peer would tell it. Of a condemned content only the starts are known: their crashes
- * count as one after the other, and long ago. A release is of the crashes it names, not of later ones.
+ * Converts a row to a peer's report. Its crashes count as successive ones; a release clears only
+ * the crashes that it names.
  */
 function buildTold({ content, organisation, starts, state }: CaseRow): ToldCase {
   const isReleased = state === CASE_STATE.Released;
@@ -77,7 +75,6 @@
   };
 }
 
-/** Builds rows that were not read yet. */
 export function createCaseRows({ store, timers, onTold }: CaseRowsOptions): CaseRows {
   const unwritten = new Map<ContentId, CaseRow>();
   let isReading = false;
@@ -93,7 +90,7 @@
 
   async function writeRows(): Promise<void> {
     for (const [content, row] of [...unwritten]) {
-      // One after the other: the store is asked for little at a time.
+      // Sequential, to limit the load on the store.
       // eslint-disable-next-line no-await-in-loop
       const isTaken = await store.set(row);
       if (isTaken && unwritten.get(content) === row) unwritten.delete(content);
@@ -113,7 +110,7 @@
   }
 
   timers.subscribe(WRITE_PERIOD_MS, () => {
-    // The store's client reports its failures; what was not done is tried in the next period.
+    // The store client logs its failures; the next period tries again.
     advanceRows().catch(() => undefined);
   });
 
--- a/src/quarantine/check-acceptance.ts
+++ b/src/quarantine/check-acceptance.ts
@@ -1,13 +1,13 @@
-/** Asks whether somebody accepts connections at an address, with a connection that carries nothing. */
+/** Probes an address by opening a TCP connection and sending no data. */
 import { connect } from 'node:net';
 import { ACCEPTANCE } from './crash-detector.js';
 import type { Acceptance } from './crash-detector.js';
 
-/** No answer within this time, in milliseconds, is silence: a hundred times a round trip between data centres. */
+/** Well above the round-trip time between data centres. */
 const ANSWER_TIMEOUT_MS = 300;
 const REFUSED_CODE = 'ECONNREFUSED';
 
-/** Tries a connection to `HOST:PORT`. */
+/** `address` has the form `HOST:PORT`. */
 export function checkAcceptance(address: string): Promise<Acceptance> {
   const separator = address.lastIndexOf(':');
   return new Promise((resolve) => {
--- a/src/quarantine/crash-detector.test.ts
+++ b/src/quarantine/crash-detector.test.ts
@@ -37,7 +37,6 @@
   return { detector, crashes, countQuestions: () => questions };
 }
 
-/** Lets what was asked be answered. */
 async function waitForAnswers(): Promise<void> {
   await new Promise(setImmediate);
 }
@@ -65,8 +64,8 @@
     t.deepEqual(crashes, []);
   });
 
-  // An engine crashes and is back within milliseconds, or the way to it is cut just then: a new
-  // connection does not show the crash, and the registry names the new start seconds later.
+  // Guards against missing a crash that a connection check does not show, because the endpoint
+  // restarted within milliseconds or was unreachable.
   it('takes the word of the registry where a connection proved nothing', async (t) => {
     for (const acceptance of [ACCEPTANCE.Accepted, ACCEPTANCE.Silent]) {
       const { detector, crashes } = createTrial(acceptance);
@@ -80,8 +79,8 @@
     }
   });
 
-  // An engine falls silent under a request instead of closing its connections. Its callers leave after
-  // some seconds; that it had ended shows when the registry misses it.
+  // Guards against missing a crash that left connections open: callers abandon their answers before
+  // the registry reports the crash.
   it('takes the word of the registry for answers that were given up in silence', (t) => {
     const { detector, crashes, countQuestions } = createTrial(ACCEPTANCE.Accepted);
     detector.recordSilent(ENGINE, buildAnswer('x'));
@@ -104,8 +103,7 @@
     t.deepEqual(crashes, []);
   });
 
-  // An engine breaks off part of its answers for minutes, and crashes at last: only what broke off a moment
-  // ago can have run then, and what is remembered does not grow.
+  // Guards against unbounded memory, and against blaming old interruptions for a later crash.
   it('forgets answers that broke off long before, while others still do', async (t) => {
     const { detector, crashes } = createTrial(ACCEPTANCE.Accepted);
     for (let second = 0; second <= 60; second += 1) {
--- a/src/quarantine/crash-detector.ts
+++ b/src/quarantine/crash-detector.ts
@@ -1,75 +1,70 @@
 /**
- * Tells the crash of an endpoint from the loss of a connection to it, free of I/O. An answer that broke
- * off is a doubt: whether the endpoint still accepts connections decides it at once, and the registry's
- * word that this start has ended decides it later.
+ * Distinguishes an endpoint's crash from a lost connection; does no I/O. After an interrupted
+ * answer, a refused connection proves a crash at once; otherwise the registry may report later that
+ * the endpoint's start has ended.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import type { OrganisationKey } from './crash-case.js';
 
-/** An answer whose end nothing has explained for this long is no more doubted, in milliseconds: a registry misses three heartbeats sooner. */
+/** Longer than the registry takes to notice three missed heartbeats. */
 const DOUBT_MAX_MS = 10_000;
 
-/** What a new connection to an endpoint shows. */
+/** Result of opening a connection to an endpoint. */
 export const ACCEPTANCE = {
   Accepted: 'accepted',
-  /** Nobody listens there. */
+  /** Nothing listens on the port. */
   Refused: 'refused',
-  /** No answer: the endpoint or the way to it is gone. */
+  /** No answer: the endpoint or the network path to it is down. */
   Silent: 'silent',
 } as const;
 export type Acceptance = (typeof ACCEPTANCE)[keyof typeof ACCEPTANCE];
 
-/** What proved a crash. */
 export type CrashEvidence = 'connection refused' | 'start ended';
 
-/** An answer that broke off. */
+/** An interrupted answer. Times are on the local monotonic clock. */
 export interface BrokenAnswer {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
-  /** Monotonic moments at which the call was sent and at which its answer broke off. */
   readonly sentMs: number;
   readonly brokenMs: number;
 }
 
-/** An endpoint that crashed, and what ran there of this instance's calls. */
+/** A crash, with the answers of this instance's calls that it interrupted. */
 export interface EndpointCrash {
   readonly endpoint: RegisteredEndpoint;
   readonly answers: readonly BrokenAnswer[];
   readonly evidence: CrashEvidence;
 }
 
-/** What the detector is built on. */
 export interface CrashDetectorOptions {
-  /** Tries a connection of its own; never rejects. */
+  /** Opens a separate connection; never rejects. */
   readonly checkAcceptance: (address: string) => Promise<Acceptance>;
   readonly onCrash: (crash: EndpointCrash) => void;
 }
 
-/** Finds crashes. */
 export interface CrashDetector {
-  /** An answer of this endpoint, which has not said that it leaves, broke off before it was whole. */
+  /** An answer was interrupted, and the endpoint has not announced that it is leaving. */
   recordBroken(endpoint: RegisteredEndpoint, answer: BrokenAnswer): void;
-  /** An answer was given up after a silence: only the registry can say whether the endpoint had crashed. */
+  /** An answer was abandoned after a silence; only the registry can confirm a crash. */
   recordSilent(endpoint: RegisteredEndpoint, answer: BrokenAnswer): void;
-  /** The registry says that this start of the endpoint is over. */
+  /** The registry reports that this start of the endpoint has ended. */
   recordEnded(endpoint: RegisteredEndpoint): void;
-  /** Endpoints that are being asked after an answer with this content broke off there. */
+  /** Endpoints being checked after an answer with this content was interrupted. */
   countAsked(content: ContentId): number;
-  /** Drops old doubts. */
+  /** Drops answers that are too old to be explained by a crash. */
   advance(nowMs: number): void;
 }
 
 interface Doubt {
   readonly endpoint: RegisteredEndpoint;
-  /** Answers that broke off since the endpoint last accepted a connection. */
+  /** Answers interrupted since the last connection check. */
   asked: BrokenAnswer[];
-  /** Those before. */
+  /** Answers interrupted before; only the registry can still confirm a crash. */
   earlier: BrokenAnswer[];
   isAsking: boolean;
 }
 
-/** Builds a detector without doubts. */
 export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
   const doubts = new Map<string, Doubt>();
 
@@ -86,7 +81,7 @@
     return doubt;
   }
 
-  /** Answers that break off while the endpoint is being asked share the question. */
+  /** Answers interrupted while a check runs share its result. */
   async function checkDoubt(doubt: Doubt): Promise<void> {
     const { endpoint } = doubt;
     doubt.isAsking = true;
@@ -114,7 +109,7 @@
     recordEnded({ startId, isLeaving }) {
       const doubt = doubts.get(startId);
       doubts.delete(startId);
-      // The end of an endpoint that said it leaves is planned: it says nothing of what ran there.
+      // A planned shutdown is no evidence against the contents that ran there.
       if (doubt === undefined || isLeaving) return;
       const answers = [...doubt.earlier, ...doubt.asked];
       options.onCrash({ endpoint: doubt.endpoint, answers, evidence: 'start ended' });
--- a/src/quarantine/crashing-request.test.ts
+++ b/src/quarantine/crashing-request.test.ts
@@ -1,6 +1,4 @@
-/**
- * Plays of requests that end every engine which begins to run them.
- */
+/** Simulates requests that crash every endpoint which begins to run them. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
 import { runCrashPlay } from '../test/crash-play.js';
@@ -13,13 +11,13 @@
 const ENGINES = 6;
 const LENGTH_MS = 30_000;
 const SEEDS = [1, 2, 3];
-/** Ends of engines after which a request is known for what it is. */
+/** Crashes after which a request must be condemned. */
 const ENDS_MAX = 3;
-/** An instance in touch with the others knows of an end within this time, in milliseconds. */
+/** Time within which every connected instance must know of a crash. */
 const CONTACT_MS = 3000;
-/** Times that the request may reach engines after that. */
+/** Sends that are tolerated after that time. */
 const LATE_SENDS_MAX = 3;
-/** Only what is held for good is told to come back later than this, in milliseconds. */
+/** Only condemned requests get a longer retry delay than this. */
 const HELD_MS = 60_000;
 
 const ROUTES = buildMixedRoutes({ engines: ENGINES, lookupGapMs: 250, sharedParts: 12 });
@@ -34,7 +32,7 @@
   };
 }
 
-/** Moments at which a client tries again, this long apart. */
+/** Times at which a client sends its copies. */
 function listMoments(periodMs: number, copies: number): number[] {
   const moments: number[] = [];
   for (let atMs = 1000; atMs < LENGTH_MS; atMs += periodMs) {
@@ -75,7 +73,7 @@
   };
 }
 
-/** Times that the culprit was sent once instances in touch had to know of the third end. */
+/** Counts sends of the culprit after every connected instance must know of the third crash. */
 function countLateSends({ sends, ends }: CrashPlayRecord): number {
   const third = ends[ENDS_MAX - 1];
   if (third === undefined) return 0;
@@ -93,7 +91,7 @@
   });
 }
 
-/** How many calls of others are turned away as if they had ended engines. */
+/** Counts calls with other contents that were refused as condemned. */
 function countInnocentsHeld({ calls }: CrashPlayRecord): number {
   return calls.filter(
     ({ content, retryAfterMs = 0 }) => content !== 'culprit' && retryAfterMs > HELD_MS,
@@ -101,11 +99,8 @@
 }
 
 describe('a request that ends each engine which runs it', ({ it }) => {
-  // Histories fail for ten seconds on end. A client sends one history again and again, each time under a
-  // new id and at another instance; the engine that begins it ends, with the one to sixteen answers it was
-  // giving, and the next engine gets it as if it had never been seen. What was learned of a broken answer
-  // was held against the engine, which came back as a new one, and against that call, which was over.
-  // Proved by this play, where engines end for nothing else: 17 of them, 13 sends too late, until it counted.
+  // Guards against counting a crash only against the endpoint and the call, so that the same
+  // content under a new id crashes the next endpoint.
   it('is not sent on when it comes again under new ids', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.Stream,
@@ -115,8 +110,7 @@
       dataCentres: 3,
     }));
 
-  // The same with a draft that may go on elsewhere: each arrival ended two engines, since the instance
-  // itself took it to the next one.
+  // Guards against the instance itself retrying a resumable request on one endpoint after another.
   it('is not taken to one engine after the other by second tries', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.ResumableStream,
@@ -126,8 +120,8 @@
       dataCentres: 3,
     }));
 
-  // Copies come to all instances at one moment. Each instance has its own, and none can have heard of the
-  // others': without one lease in the fleet each would try whether it is the culprit.
+  // Guards against each instance running its own copy before it can hear of the others: one lease
+  // in the fleet must decide.
   it('is run once more in the fleet when copies come to every instance at once', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.Stream,
@@ -137,7 +131,7 @@
       dataCentres: 3,
     }));
 
-  // The way of the news is longest in a large fleet: to a head, to the other heads, to their groups.
+  // Propagation takes longest in a large fleet, where reports pass through several hops.
   it('is known to 70 instances in time, also when 20 copies come at once', async (t) => {
     const options = buildOptions({
       kind: CALL_KIND.Stream,
@@ -152,8 +146,8 @@
 });
 
 describe('requests beside one that ends engines', ({ it }) => {
-  // A popular request runs at most engines at any moment, so that it falls with most that end: with
-  // the culprit's, and when three lose power together. It must not be taken for the culprit.
+  // Guards against condemning a popular request, which runs on most endpoints at any time and so is
+  // involved in most crashes.
   it('are not turned away, however often they fall with it', async (t) => {
     const moments = listMoments(50, 1);
     const popular = { content: 'popular', played: ROUTES[0] as PlayedRoute, isCulprit: false };
--- a/src/quarantine/organisation-backoff.test.ts
+++ b/src/quarantine/organisation-backoff.test.ts
@@ -7,7 +7,7 @@
 const ORGANISATION = 7;
 const OTHER = 8;
 
-/** Three crashes of one content, the last at `atMs`. */
+/** Records three crashes of one content, the last at `atMs`. */
 function recordCulprit(
   ledger: CaseLedger,
   backoff: OrganisationBackoff,
@@ -31,8 +31,8 @@
 }
 
 describe('organisation backoff', ({ it }) => {
-  // An organisation's program sends a new request each time, and each ends three engines before it is
-  // known: the pool never recovers, though no request comes a fourth time.
+  // Guards against an organisation that sends a new crashing request each time, each of which costs
+  // three endpoints before it is condemned.
   it('turns an organisation away after each end beyond some, twice as long each time', (t) => {
     const ledger = createCaseLedger();
     const backoff = createOrganisationBackoff();
--- a/src/quarantine/organisation-backoff.ts
+++ b/src/quarantine/organisation-backoff.ts
@@ -1,19 +1,16 @@
 /**
- * Bounds what one organisation can do with ever new requests under which endpoints end, free of I/O: each
- * costs up to three endpoints before it is known. It shows as a pool that keeps losing endpoints though
- * every single request is stopped in time. Beyond some such requests the organisation is turned away for a
- * while after each end, twice as long each time, so that the pool recovers in between.
+ * Limits how many endpoints one organisation can crash by sending ever new contents, each of which
+ * costs up to three endpoints before it is condemned. Beyond a few such contents, its calls are
+ * refused after each crash for a time that doubles with every further content. Does no I/O.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { CaseChange } from './case-ledger.js';
 import { STANDING } from './crash-case.js';
 import type { OrganisationKey } from './crash-case.js';
 
-/** Condemned contents that cost an organisation nothing else: one faulty program has a few bodies. */
+/** Condemned contents without a penalty: one faulty client may produce several. */
 const CONDEMNED_FREE = 4;
-/** The first pause, in milliseconds: an endpoint is back after a few. */
 const PAUSE_MIN_MS = 1000;
-/** The longest, in milliseconds. */
 const PAUSE_MAX_MS = 30_000;
 
 interface Record {
@@ -21,14 +18,15 @@
   lastMs: number;
 }
 
-/** What organisations have done. */
 export interface OrganisationBackoff {
   recordChange(change: CaseChange): void;
-  /** How much longer the organisation is turned away, in milliseconds; 0 where it is not. */
+  /**
+   * Time until the organisation's calls are admitted again, in milliseconds; 0 if they are admitted
+   * now.
+   */
   computeLeftMs(organisation: OrganisationKey, nowMs: number): number;
 }
 
-/** Builds a record of nothing. */
 export function createOrganisationBackoff(): OrganisationBackoff {
   const records = new Map<OrganisationKey, Record>();
 
--- a/src/quarantine/quarantine-api.ts
+++ b/src/quarantine/quarantine-api.ts
@@ -1,31 +1,29 @@
-/** The operators' view of the quarantine over HTTP: what it holds, and how to release it. */
+/** HTTP API for operators to list crash cases and release contents. */
 import express from 'express';
 import type { RequestHandler, Router } from 'express';
 import { z } from 'zod';
 import { computeStanding } from './crash-case.js';
 import type { CrashCase, Standing } from './crash-case.js';
 
-/** What the view shows and sets off. */
 export interface QuarantineApiOptions {
   readonly checkOperator: RequestHandler;
   readonly listCases: () => readonly CrashCase[];
-  /** False where nothing is known of the content. */
+  /** False if the content is unknown. */
   readonly releaseCase: (content: string, who: string, reason: string) => boolean;
   readonly getNow: () => number;
 }
 
-/** One content as an operator sees it. */
 export interface ListedCase {
   readonly content: string;
   readonly standing: Standing;
   readonly crashes: number;
-  /** Since the last crash, in milliseconds; 0 where none counts. */
+  /** Time since the last crash; 0 if there is none. */
   readonly lastCrashAgoMs: number;
 }
 
 const RELEASE_SCHEMA = z.object({ who: z.string().min(1), reason: z.string().min(1) });
 
-/** Cases as operators see them, the worst first. */
+/** Sorted by number of crashes, then by the most recent crash. */
 export function listForOperators(cases: readonly CrashCase[], nowMs: number): ListedCase[] {
   return cases
     .map((subject) => {
@@ -40,7 +38,6 @@
     .sort((a, b) => b.crashes - a.crashes || a.lastCrashAgoMs - b.lastCrashAgoMs);
 }
 
-/** Builds the routes. */
 export function createQuarantineApi(options: QuarantineApiOptions): Router {
   const router = express.Router();
   router.get('/quarantine', options.checkOperator, (_, response) => {
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,8 +1,7 @@
 /**
- * Keeps requests that end the endpoints which run them from being sent again, at any instance and under
- * any id. Such a request shows as endpoint after endpoint that ends within seconds, with all it runs: it
- * is new to every call and every instance, and each end counts against the endpoint only. Here it counts
- * against the contents that ran there, told among all instances. Free of I/O.
+ * Stops requests that crash the endpoints running them from being sent again, by any instance and
+ * under any request id. Crashes count against the contents that were running, and instances share
+ * this evidence. Does no I/O.
  */
 import type { AttemptEnd, RoutedCall } from '../calls/call-messages.js';
 import { hashStart } from '../placement/told-loads.js';
@@ -22,80 +21,76 @@
 import { createTrials } from './trials.js';
 import type { TakeTrialLease } from './trials.js';
 
-/** A caller comes back after this long, in milliseconds: trying again does not help before an operator has looked. */
+/** Long, since a retry cannot succeed before an operator has released the content. */
 const CONDEMNED_RETRY_MS = 60 * 60 * 1000;
 
 /**
- * A content is held this long before it is refused, in milliseconds.
- *
- * Guards against turning a popular request away because copies of it fell with several endpoints within
- * a second, at a loss of power beside a crash: copies that run elsewhere come to their whole answers in
- * that time, and release it.
+ * Delay between the latest evidence and the first refusal. Guards against refusing a popular
+ * request after several endpoints that ran it failed together: copies on other endpoints complete
+ * in this time and clear it.
  */
 const SETTLING_MS = 3000;
 
-/** Old cases are looked for this often, in milliseconds: thousands are looked through. */
+/** Expiry scans all cases, so it runs rarely. */
 const FORGET_PERIOD_MS = 10_000;
 /**
- * An answer that was given up after so long without a sign of its endpoint may have been silenced by a
- * crash, in milliseconds: the longest pauses that are declared are as long, and calls are given up later.
+ * Silence after which an abandoned answer may have been interrupted by a crash: the longest pause
+ * that a route may declare.
  */
 const SILENT_MS = 1000;
 
-/** What is told of the quarantine, for logs and metrics. */
+/** Callbacks for logs and metrics. */
 export interface QuarantineObserver {
   onCrash(crash: EndpointCrash): void;
   onChanged(change: CaseChange, source: string): void;
-  /** `subject`: what speaks against the content; undefined where its organisation is turned away. */
+  /** `subject` is undefined if the call was refused because of its organisation. */
   onRefused(call: RoutedCall, subject: CrashCase | undefined): void;
 }
 
-/** What a quarantine is built on. */
 export interface QuarantineOptions {
-  /** Tries a connection of its own to an endpoint; never rejects. */
+  /** Opens a separate connection to an endpoint; never rejects. */
   readonly checkAcceptance: (address: string) => Promise<Acceptance>;
-  /** What the registry lists under an id. */
+  /** The endpoint registered under an id. */
   readonly findEndpoint: (id: string) => RegisteredEndpoint | undefined;
   readonly takeTrialLease: TakeTrialLease;
   readonly getNow: () => number;
   readonly observer: QuarantineObserver;
 }
 
-/** What becomes of a call that is about to be sent. */
+/** Decision on a call that is about to be sent. */
 export type Verdict =
-  /** `isAlone`: where it does the least harm. */
+  /** `isAlone`: send it where a crash does the least harm. */
   | { readonly kind: 'send'; readonly isAlone: boolean }
-  /** Until more is known. */
+  /** Keep the call queued until more is known. */
   | { readonly kind: 'wait' }
   | { readonly kind: 'refuse'; readonly failure: RequestFailure };
 
-/** Follows one attempt of a call. */
+/** Receives the events of one attempt. */
 export interface AttemptWatch {
   /** The endpoint began to answer. */
   recordStarted(): void;
-  /** More of the answer came. */
+  /** More of the answer arrived. */
   recordEvent(): void;
   recordEnd(end: AttemptEnd): void;
-  /** It was given up here. */
+  /** This instance abandoned the attempt. */
   recordCancelled(): void;
 }
 
-/** The quarantine of one instance. */
 export interface Quarantine {
   check(call: RoutedCall): Verdict;
   /** Whether the call would be refused. */
   isCondemned(call: RoutedCall): boolean;
-  /** The call is sent. */
+  /** Call when the call is sent. */
   startWatch(call: RoutedCall, endpoint: RegisteredEndpoint): AttemptWatch;
-  /** Whether an endpoint is in use for a trial, which others stay away from. */
+  /** Whether a trial runs on the endpoint, so that other calls must avoid it. */
   isInTrial(endpoint: RegisteredEndpoint): boolean;
-  /** The registry says that this start of an endpoint is over. */
+  /** The registry reports that this start of the endpoint has ended. */
   recordEnded(endpoint: RegisteredEndpoint): void;
-  /** What others are to be told now. */
+  /** Returns the cases to report to peers now. */
   takeTold(): ToldCase[];
   merge(told: readonly ToldCase[], source: string): void;
   list(): readonly CrashCase[];
-  /** An operator releases a content; false where nothing speaks against it. */
+  /** Releases a content for an operator; false if no crashes count against it. */
   release(content: string): boolean;
   advance(): void;
 }
@@ -129,7 +124,6 @@
   };
 }
 
-/** Builds a quarantine that holds nothing. */
 export function createQuarantine(options: QuarantineOptions): Quarantine {
   const { getNow, observer } = options;
   const ledger = createCaseLedger();
@@ -161,7 +155,7 @@
     },
   });
 
-  /** Nothing is hashed for a call while nothing speaks against any. */
+  /** Skips computing the content's hash while there are no cases. */
   function findCase(call: RoutedCall): CrashCase | undefined {
     return ledger.isEmpty() ? undefined : ledger.find(call.contentId);
   }
@@ -174,7 +168,7 @@
     return getNow() - changedMs >= SETTLING_MS;
   }
 
-  /** What just broke off is being asked about: the answer may decide. */
+  /** False while connection checks are pending, since they may decide the case. */
   function isTrialDue(subject: CrashCase): boolean {
     return detector.countAsked(subject.content) === 0 && trials.isDue(subject);
   }
@@ -215,7 +209,7 @@
     if (subject !== undefined) trials.stop(subject, isRun);
   }
 
-  /** The endpoint that an attempt went to, unless it has left or leaves: that end was planned. */
+  /** The endpoint of an attempt, unless that start has been replaced or is leaving as planned. */
   function findUnplanned({ id, startId }: RegisteredEndpoint): RegisteredEndpoint | undefined {
     const endpoint = options.findEndpoint(id);
     return endpoint?.startId === startId && !endpoint.isLeaving ? endpoint : undefined;
@@ -283,7 +277,7 @@
         }
       },
       recordCancelled() {
-        // A call whose attempt has ended is given up while it waits for the next one.
+        // A call can be cancelled between attempts, when the last attempt has already ended.
         if (isOver) return;
         isOver = true;
         stopTrial(trialOf, true);
--- a/src/quarantine/trials.test.ts
+++ b/src/quarantine/trials.test.ts
@@ -64,7 +64,8 @@
     t.deepEqual(asked, ['x']);
   });
 
-  // The source is down, or another instance has the lease: nobody may try, however long a call waits.
+  // Guards against running a trial without the lease when the source is down or another instance
+  // holds it.
   it('do not begin without the lease, which is asked for now and then', async (t) => {
     const { trials, subject, asked, setNow } = createBench(false);
     for (let ms = 0; ms <= 1000; ms += 25) {
@@ -76,7 +77,7 @@
     t.is(asked.length, 3);
   });
 
-  // The call that has the lease is held back at first, since engines are busy with more urgent ones.
+  // Guards against losing the lease while its call waits for capacity.
   it('keep the lease while their call waits for room', async (t) => {
     const { trials, subject, asked, setNow } = createBench(true);
     trials.isDue(subject);
@@ -97,8 +98,7 @@
     t.false(trials.isDue(subject));
   });
 
-  // The endpoint that a trial goes to has just ended too, and refuses the connection: nothing was found
-  // out, and the lease that all others are refused must not be lost with it.
+  // Guards against losing the lease when the trial's endpoint cannot be reached.
   it('that reached no endpoint leave the lease in hand', async (t) => {
     const { trials, subject } = createBench(true);
     trials.isDue(subject);
--- a/src/quarantine/trials.ts
+++ b/src/quarantine/trials.ts
@@ -1,64 +1,56 @@
 /**
- * Sees to it that a content which may end one more endpoint runs once in the whole fleet, and that others
- * stay away from that endpoint meanwhile. Free of I/O.
- *
- * Guards against copies that come to many instances at one moment: each would run its own, and a pool
- * would lose as many endpoints as there are copies. Tellings take some hundred milliseconds, so that only
- * a lease taken under a condition at the source decides who runs it. While the source cannot be reached,
- * nobody does.
+ * Allows a content that may crash its endpoint one run in the whole fleet, and keeps other calls
+ * away from that endpoint. Does no I/O. Guards against copies that reach many instances at once:
+ * reports between peers are too slow to prevent parallel runs, so a lease from the source decides,
+ * and without it nothing runs.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { EndpointKey } from '../placement/told-loads.js';
 import type { CrashCase, Trial } from './crash-case.js';
 
-/** A trial that is told counts this long without a renewal, in milliseconds: some tellings may be lost. */
+/** Outlasts the loss of a renewal or two. */
 const TOLD_LEASE_MS = 1500;
-/** It is renewed this often, in milliseconds. */
 const RENEWAL_MS = 500;
-/** After a lease was refused, or could not be asked for, the next question waits this long, in milliseconds. */
+/** Interval between requests for a lease. */
 const ASK_PERIOD_MS = 500;
-/** A lease that nobody used is given up after this long, in milliseconds: its call has left meanwhile. */
+/** Time after which an unused lease is dropped, because its call has left. */
 const UNUSED_MAX_MS = 1000;
 
-/** Takes the lease of a content; false where another instance has it, or nobody can tell. */
+/** Takes the lease on a content's trial; false if it is held or cannot be obtained. */
 export type TakeTrialLease = (content: ContentId) => Promise<boolean>;
 
-/** What trials are built on. */
 export interface TrialsOptions {
   readonly takeLease: TakeTrialLease;
   readonly getNow: () => number;
-  /** Others are to be told of the content's trial. */
+  /** The content's trial changed and must be reported to peers. */
   readonly onNews: (content: ContentId) => void;
 }
 
-/** The trials that one instance runs and knows of. */
+/** Trials run by this instance or reported by its peers. */
 export interface Trials {
-  /** Whether a call may run the content now; asks for the lease where nobody seems to have it. */
+  /** Whether a call may run the content now; requests the lease if no trial is known. */
   isDue(subject: CrashCase): boolean;
-  /** The content is sent to an endpoint. */
   start(subject: CrashCase, start: EndpointKey): void;
-  /** `isRun`: an endpoint may have begun it; else the lease is in hand again. */
+  /** Without `isRun`, no endpoint began the content, and the lease is kept for another try. */
   stop(subject: CrashCase, isRun: boolean): void;
-  /** Another instance told of a trial. */
+  /** Records a trial that a peer reported. */
   record(trial: Trial): void;
-  /** Whether any endpoint is: asked at every choice, before an endpoint's start is hashed. */
+  /** Cheap check that saves callers from hashing every endpoint's start. */
   hasAny(): boolean;
-  /** Whether an endpoint is in use for a trial. */
   isInTrial(start: EndpointKey): boolean;
   advance(): void;
 }
 
-/** A lease that is asked for or in hand. */
+/** A lease that was requested; held once `takenMs` is set. */
 interface Lease {
   readonly askedMs: number;
   takenMs: number | undefined;
 }
 
-/** Builds trials of nothing. */
 export function createTrials({ takeLease, getNow, onNews }: TrialsOptions): Trials {
   const leases = new Map<ContentId, Lease>();
   const running = new Map<CrashCase, EndpointKey>();
-  /** Endpoints where trials run, here or elsewhere, and until when. */
+  /** Expiry times of trials by endpoint, including those of other instances. */
   const untilMsOf = new Map<EndpointKey, number>();
   let renewedMs = -Infinity;
 
@@ -68,7 +60,7 @@
     if (await takeLease(content)) lease.takenMs = getNow();
   }
 
-  /** A call that still waits for room keeps the lease by asking for it. */
+  /** Also renews the lease, since the asking call still waits for capacity. */
   function isInHand(content: ContentId): boolean {
     const lease = leases.get(content);
     if (lease?.takenMs === undefined || getNow() - lease.takenMs > UNUSED_MAX_MS) return false;
--- a/src/requests/life-messages.ts
+++ b/src/requests/life-messages.ts
@@ -1,37 +1,36 @@
-/** What a request's life is told and asks for. */
+/** Messages to the state machine of a request, and the commands that it returns. */
 import type { SlotEnding } from '../gen/peer_pb.js';
 import type { Failure, RequestFailure } from '../types/outcomes.js';
 
-/** How often a request may be sent. */
+/** How often a request may be sent to an endpoint. */
 export const REPEATABILITY = {
-  /** As often as needed; a broken answer is resumed where it stopped. */
+  /** Any number of times; an interrupted answer resumes where it stopped. */
   Repeatable: 'repeatable',
-  /** Never again once a byte may have reached an endpoint; nothing is promised across entries. */
+  /** Never again once a byte may have reached an endpoint; not enforced across instances. */
   SingleAttempt: 'single_attempt',
-  /** At most once across the fleet, by a claim. */
+  /** At most once across the fleet, enforced by a claim. */
   Once: 'once',
 } as const;
 export type Repeatability = (typeof REPEATABILITY)[keyof typeof REPEATABILITY];
 
-/** What an attempt at an endpoint ended in. */
+/** How an attempt ended. */
 export type AttemptEnding =
   /** No byte of the request reached the endpoint. */
   | 'unsent'
-  /** The endpoint proved that it ran nothing, because it is leaving. */
+  /** The endpoint is leaving and confirmed that it ran nothing. */
   | 'leaving'
-  /** The endpoint answered with an error; what it did is not known. */
+  /** The endpoint returned an error and may have run the request. */
   | 'error'
-  /** The endpoint refused the request itself as wrong. */
+  /** The endpoint rejected the request as invalid. */
   | 'rejected'
   /** The connection broke, or the answer ended without its end marker. */
   | 'broken';
 
-/** What a request is told. */
 export type LifeMessage =
   | { readonly kind: 'start' }
   | { readonly kind: 'claimed' }
   | { readonly kind: 'claim_refused'; readonly failure: RequestFailure }
-  /** The request ran before; its kept answer is the final one. */
+  /** The request ran before; its stored answer is replayed. */
   | { readonly kind: 'replayed' }
   | { readonly kind: 'granted'; readonly ticketId: string; readonly endpoint: string }
   | {
@@ -51,10 +50,9 @@
   | { readonly kind: 'attempt_ended'; readonly attemptId: string; readonly ending: AttemptEnding }
   | { readonly kind: 'preempted'; readonly ticketId: string }
   | { readonly kind: 'caller_left' }
-  /** `lateMs`: how much later than it should this tick comes, because the process did not run. */
+  /** `lateMs`: delay of this tick because the process did not run. */
   | { readonly kind: 'tick'; readonly lateMs: number };
 
-/** What a request asks for. */
 export type LifeCommand =
   | { readonly kind: 'claim' }
   | {
@@ -69,7 +67,7 @@
       readonly attemptId: string;
       readonly ticketId: string;
       readonly endpoint: string;
-      /** Frames delivered before; the endpoint goes on from here. */
+      /** Frames already delivered; the endpoint resumes from here. */
       readonly offset: number;
       readonly delivered: string;
     }
@@ -86,6 +84,6 @@
   | { readonly kind: 'deliver'; readonly text: string }
   | { readonly kind: 'drop_frame'; readonly reason: 'foreign' | 'repeated' | 'gap' }
   | { readonly kind: 'complete'; readonly frames: number }
-  /** The kept answer goes to the caller. */
+  /** Sends the stored answer to the caller. */
   | { readonly kind: 'replay' }
   | { readonly kind: 'fail'; readonly failure: RequestFailure };
--- a/src/requests/request-life.test.ts
+++ b/src/requests/request-life.test.ts
@@ -37,7 +37,6 @@
   );
 }
 
-/** Starts a life and grants its first slot. */
 function startSent(setup: Setup = {}) {
   const life = createLife(setup);
   const started = life.handle({ kind: 'start' }, 0);
@@ -46,7 +45,7 @@
   return life;
 }
 
-/** Any message at all, in or out of place. */
+/** Any message, valid in the current state or not. */
 const messageArbitrary: fc.Arbitrary<LifeMessage> = fc.oneof(
   fc.record({
     kind: fc.constant('frame' as const),
@@ -118,8 +117,8 @@
 
   describeInner('frames', ({ it: itInner }) => {
     itInner('of another request reach nobody', (t) => {
-      // A caller sees somebody else's words in its answer. An engine mixes up two requests on one
-      // connection: a frame with another attempt's id arrives between two of this one.
+      // Guards against delivering another request's text when an endpoint mixes up two requests on
+      // one connection.
       const life = startSent();
       life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'mine ' }, 2);
       const crossed = life.handle(
@@ -132,8 +131,7 @@
     });
 
     itInner('that skip ahead make the answer go on elsewhere from the gap', (t) => {
-      // A caller's answer lacks its middle. Frame 1 is lost on the way and frame 2 arrives after
-      // frame 0: passing it on would be a wrong answer that looks whole.
+      // Guards against delivering an answer with a gap when a frame is lost on the way.
       const life = startSent();
       life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 2);
       const commands = life.handle({ kind: 'frame', attemptId: 'r-1', index: 2, text: 'c ' }, 3);
@@ -150,8 +148,8 @@
     });
 
     itInner('short of the end are never a whole answer', (t) => {
-      // A caller takes half a reorder note for the whole. The engine closes the stream cleanly but
-      // early: the end marker names more frames than came.
+      // Guards against taking a truncated answer for a whole one when the endpoint closes the
+      // stream cleanly but early.
       const life = startSent({ takeRetry: () => false });
       life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 2);
       const commands = life.handle({ kind: 'finished', attemptId: 'r-1', index: 3 }, 3);
@@ -162,8 +160,8 @@
 
   describeInner('silence', ({ it: itInner }) => {
     itInner('moves a repeatable request', (t) => {
-      // A clerk waits on an answer that stopped. The connection to the engine went silent for good:
-      // no frame, no error. After the learned bound the answer goes on at another endpoint.
+      // Guards against waiting forever on a connection that stopped delivering frames without an
+      // error.
       const life = startSent();
       life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 10);
       t.deepEqual(life.handle({ kind: 'tick', lateMs: 0 }, 200), []);
@@ -175,16 +173,16 @@
     });
 
     itInner('of our own making moves nothing', (t) => {
-      // Every answer moves at once although all engines are well. This process did not run for two
-      // seconds, so the frames that came meanwhile are still unread when the clock is looked at.
+      // Guards against moving every answer after this process was paused, while the frames that
+      // arrived meanwhile are still unread.
       const life = startSent();
       life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 10);
       t.deepEqual(life.handle({ kind: 'tick', lateMs: 2000 }, 2100), []);
     });
 
     itInner('never sends a request twice that may run once', (t) => {
-      // An order is shipped twice. The service is slow to confirm, the router loses patience and
-      // sends the order again. A once-only request waits to its deadline instead.
+      // Guards against running a request twice because the endpoint is slow: it waits for the
+      // deadline instead.
       const life = createLife({ repeatability: REPEATABILITY.Once });
       life.handle({ kind: 'start' }, 0);
       const claimed = life.handle({ kind: 'claimed' }, 1);
@@ -197,8 +195,8 @@
   });
 
   it('does not send a claimed request after a pause that made its claim old', (t) => {
-    // An order is shipped twice. An entry claims it, is suspended for minutes before sending, wakes,
-    // and sends although the claim may have passed to another entry meanwhile.
+    // Guards against running a request twice after a pause between claiming and sending, when
+    // another instance may hold the claim.
     const life = createLife({ repeatability: REPEATABILITY.Once, takeClaim: () => false });
     life.handle({ kind: 'start' }, 0);
     const claimed = life.handle({ kind: 'claimed' }, 1);
@@ -209,8 +207,7 @@
   });
 
   it('answers a caller once when it leaves after a replay', (t) => {
-    // An organisation's limit slowly opens: each replayed order gives its place back twice. The
-    // caller reads the kept answer, closes its connection, and the request fails a second time.
+    // Guards against a second final answer, which would return the organisation's slot twice.
     const life = createLife({ repeatability: REPEATABILITY.Once });
     life.handle({ kind: 'start' }, 0);
     t.deepEqual(life.handle({ kind: 'replayed' }, 1), [{ kind: 'replay' }]);
--- a/src/requests/request-life.ts
+++ b/src/requests/request-life.ts
@@ -1,7 +1,7 @@
 /**
- * The life of one request, free of I/O: claimed if it may run once only, queued, sent, streamed,
- * and ended by exactly one final answer. Every frame is checked against the attempt and position
- * this request waits for, so that nobody's answer reaches somebody else.
+ * State machine of one request, without I/O: claimed if it may run only once, queued, sent,
+ * streamed, and ended by exactly one final answer. Every frame is checked against the current
+ * attempt and position, so that no caller receives another request's answer.
  */
 import { SlotEnding } from '../gen/peer_pb.js';
 import type { Invariants } from '../runtime/invariants.js';
@@ -11,23 +11,24 @@
 import { REPEATABILITY } from './life-messages.js';
 import type { AttemptEnding, LifeCommand, LifeMessage, Repeatability } from './life-messages.js';
 
-/** Attempts one request may make, preemptions apart. */
+/** Preemptions do not count. */
 const ATTEMPTS_MAX = 5;
 const RETRY_SOON_MS = 1000;
 
-/** Settings of a request. */
 export interface RequestLifeOptions {
   readonly requestId: string;
   readonly repeatability: Repeatability;
-  /** Monotonic moment after which the answer is worth nothing, in milliseconds. */
+  /** On the monotonic clock. */
   readonly deadlineMs: number;
   readonly invariants: Invariants;
-  /** Longest silence before the first and between later frames, in milliseconds. */
+  /** Longest silence before the first frame and between later frames, in milliseconds. */
   readonly getFirstBound: () => number;
   readonly getGapBound: () => number;
-  /** Spends a second try; false if the budget is empty. */
+  /** Takes a retry from the budget; false if it is empty. */
   readonly takeRetry: () => boolean;
-  /** The last look before sending a request that may run once only. */
+  /**
+   * Checks, just before a request that may run only once is sent, that its claim is still valid.
+   */
   readonly takeClaim: () => boolean;
 }
 
@@ -39,25 +40,23 @@
   firstFrameMs: number | undefined;
   lastFrameMs: number;
   frames: number;
-  /** Silence since the last frame that is this process's own doing, in milliseconds. */
+  /** Part of the silence since the last frame during which this process was paused. */
   ownSilenceMs: number;
 }
 
 type Phase = 'new' | 'claiming' | 'queued' | 'sent' | 'ended';
 
-/** The life of one request. */
 export interface RequestLife {
   handle(message: LifeMessage, nowMs: number): LifeCommand[];
   isEnded(): boolean;
-  /** Frames delivered so far. */
+  /** Frames delivered to the caller so far. */
   countDelivered(): number;
   /** Frames received that reached no caller. */
   countWasted(): number;
-  /** The slot in use with its pace so far, for reports to its owner. */
+  /** The slot in use and its pace so far, for reports to the slot's owner. */
   getProgress(): { ticketId: string; tokens: number; stepMs: number } | undefined;
 }
 
-/** Builds a request that has not started. */
 export function createRequestLife(options: RequestLifeOptions): RequestLife {
   const { requestId, repeatability, invariants } = options;
   let phase: Phase = 'new';
@@ -141,7 +140,8 @@
     };
     phase = 'sent';
     tries += 1;
-    // A request that may run once only is sent again solely on proof that nothing ran before.
+    // A request that is not repeatable may be sent again only if earlier attempts provably did not
+    // run.
     invariants.check(
       'sent_at_most_once',
       repeatability === REPEATABILITY.Repeatable || !mayHaveRun,
@@ -166,7 +166,8 @@
       return;
     }
     if (repeatability === REPEATABILITY.Once && !options.takeClaim()) {
-      // Guards against a pause between claiming and sending: the claim may have passed to another.
+      // Guards against a pause between claiming and sending, in which another instance may have
+      // taken the claim.
       const unused = { tokens: 0, firstFrameMs: 0, stepMs: 0, ending: SlotEnding.UNUSED };
       commands.push({ kind: 'release', ticketId: grantedTicket, endpoint, ...unused });
       closeFailed(
@@ -179,10 +180,10 @@
     startAttempt(grantedTicket, endpoint, nowMs);
   }
 
-  /** Tries again elsewhere if that is allowed, else ends with what is known. */
+  /** Retries on another endpoint if that is safe; otherwise fails the request. */
   function handleLostAttempt(endpoint: string, isProvedUnrun: boolean, message: string): void {
     if (isProvedUnrun && tries === 1) mayHaveRun = false;
-    // Proof covers one attempt; an earlier one that may have run still counts.
+    // The proof covers this attempt only; an earlier attempt of a repeatable request may have run.
     if (isProvedUnrun && repeatability !== REPEATABILITY.Repeatable) mayHaveRun = false;
     const isAllowed = repeatability === REPEATABILITY.Repeatable || isProvedUnrun;
     if (!isAllowed || tries >= ATTEMPTS_MAX || !options.takeRetry()) {
@@ -230,7 +231,7 @@
   function handleFrame(message: Extract<LifeMessage, { kind: 'frame' }>, nowMs: number): void {
     const current = attempt;
     if (current === undefined || message.attemptId !== current.attemptId) {
-      // Guards against crossed answers: a frame of another request on this connection.
+      // Guards against delivering a frame that belongs to another request or attempt.
       commands.push({ kind: 'drop_frame', reason: 'foreign' });
       wasted += 1;
       return;
@@ -240,7 +241,7 @@
       return;
     }
     if (message.index > delivered.length) {
-      // Guards against lost or reordered frames: text after a gap would be a wrong answer.
+      // Guards against lost or reordered frames, which would leave a gap in the answer.
       commands.push({ kind: 'drop_frame', reason: 'gap' });
       wasted += 1;
       releaseAttempt(SlotEnding.FAILED, true);
@@ -283,8 +284,8 @@
   }
 
   /**
-   * Guards against connections that went silent for good, engines that hang and stragglers: all
-   * show as frames that stop coming. The bound is learned from the pool's own pace.
+   * Guards against dead connections and hung or very slow endpoints: moves the request when frames
+   * stop arriving.
    */
   function checkStall(nowMs: number): void {
     const current = attempt;
@@ -293,7 +294,7 @@
       current.firstFrameMs === undefined ? options.getFirstBound() : options.getGapBound();
     if (nowMs - current.lastFrameMs - current.ownSilenceMs < bound) return;
     const isRepeatable = repeatability === REPEATABILITY.Repeatable;
-    // Where a second try is not allowed, waiting on is all that helps.
+    // If the request cannot be retried, waiting is the only option.
     if (!isRepeatable || tries >= ATTEMPTS_MAX || !options.takeRetry()) return;
     releaseAttempt(SlotEnding.STALLED, true);
     excluded = [...excluded, current.endpoint].slice(-2);
@@ -301,8 +302,8 @@
   }
 
   function handleTick(lateMs: number, nowMs: number): void {
-    // Guards against taking a pause of this process for silence of every endpoint at once: frames
-    // that came meanwhile are still unread.
+    // Guards against mistaking a pause of this process for silence of its endpoints: frames that
+    // arrived meanwhile are still unread.
     if (attempt !== undefined) attempt.ownSilenceMs += lateMs;
     if (nowMs >= options.deadlineMs) handleDeadline();
     else checkStall(nowMs);
@@ -316,7 +317,8 @@
   }
 
   function handleCallerLeft(): void {
-    // What may run once only is seen through: its answer is kept, and replayed to the next try.
+    // A request that may run only once is completed, so that its stored answer can be replayed when
+    // the caller tries again.
     if (repeatability === REPEATABILITY.Once && phase === 'sent') return;
     if (phase === 'queued') commands.push({ kind: 'withdraw', ticketId });
     wasted += delivered.length;
--- a/src/requests/routed-request.ts
+++ b/src/requests/routed-request.ts
@@ -1,4 +1,4 @@
-/** A checked request on its way through the router, and where its answer goes. */
+/** A validated request on its way through the router, and the receiver of its answer. */
 import type {
   ClassDeclaration,
   OrganisationDeclaration,
@@ -7,7 +7,7 @@
 import type { RequestFailure } from '../types/outcomes.js';
 import type { Repeatability } from './life-messages.js';
 
-/** One message of a conversation; content parts pass through as they came. */
+/** One message of a conversation; content parts are passed through unchanged. */
 export interface ChatMessage {
   readonly role: string;
   readonly content: unknown;
@@ -20,7 +20,7 @@
       readonly model: string;
       readonly messages: readonly ChatMessage[];
       readonly maxTokens: number | undefined;
-      /** Other fields of the caller's body, passed on as they came. */
+      /** Other fields of the caller's body, passed through unchanged. */
       readonly fields: Readonly<Record<string, unknown>>;
     }
   | {
@@ -31,7 +31,6 @@
       readonly body: Buffer | undefined;
     };
 
-/** A request that passed all checks. */
 export interface RoutedRequest {
   readonly requestId: string;
   readonly organisation: OrganisationDeclaration;
@@ -46,7 +45,7 @@
   readonly work: Work;
 }
 
-/** The end of a whole answer. */
+/** The end of a complete answer. */
 export type AnswerEnd =
   | { readonly kind: 'completion'; readonly finishReason: string; readonly tokens: number }
   | {
@@ -56,7 +55,7 @@
       readonly body: string;
     };
 
-/** Where an answer goes; exactly one of `onComplete` and `onFailure` is called, last. */
+/** Receives an answer; exactly one of `onComplete` and `onFailure` is called, last. */
 export interface AnswerSink {
   onDelta(text: string): void;
   onComplete(end: AnswerEnd): void;
