--- a/src/quarantine/case-ledger.test.ts
+++ b/src/quarantine/case-ledger.test.ts
@@ -35,7 +35,7 @@
 
 describe('case ledger', ({ describe: block }) => {
   block('a content', ({ it }) => {
-    it('is suspect after one crash, tried once more after two, condemned after three', (t) => {
+    it('is suspect after one crash, due for a last trial after two, and condemned after three', (t) => {
       const ledger = createCaseLedger();
       const standings = [1, 2, 3].map((start) => {
         recordInTurn(ledger, 'x', [1, 2, 3].slice(0, start));
@@ -46,7 +46,7 @@
 
     // Guards against refusing a popular request because several endpoints that ran it lost power
     // together: one more run must decide.
-    it('is not condemned by crashes of one moment, only by another run after them', (t) => {
+    it('is not condemned by simultaneous crashes until a later run crashes too', (t) => {
       const ledger = createCaseLedger();
       for (const start of [1, 2, 3, 4]) ledger.recordCrash(buildCrash('x', start, 1000, 900), 1000);
       t.is(getStanding(ledger, 'x'), STANDING.LastTrial);
@@ -54,14 +54,14 @@
       t.is(getStanding(ledger, 'x'), STANDING.Condemned);
     });
 
-    it('counts one crash once, however many of its copies ran there', (t) => {
+    it('counts one crash once when several copies ran on the endpoint', (t) => {
       const ledger = createCaseLedger();
       for (let copy = 0; copy < 5; copy += 1)
         ledger.recordCrash(buildCrash('x', 1, 1000, 900), 1000);
       t.is(getStanding(ledger, 'x'), STANDING.Suspect);
     });
 
-    it('is clear again after a whole answer, also where a late telling names its crashes', (t) => {
+    it('stays clear after a complete answer when a late report repeats its crashes', (t) => {
       const ledger = createCaseLedger();
       recordInTurn(ledger, 'x', [1, 2, 3]);
       const told = buildToldCase(ledger.find('x') as CrashCase, 3000);
@@ -74,7 +74,7 @@
 
     // Guards against blaming contents for a network partition, where connections are refused
     // although the endpoints keep running.
-    it('is clear again when the endpoint answers what was sent to it later', (t) => {
+    it('is clear again when the endpoint answers a later request', (t) => {
       const ledger = createCaseLedger();
       ledger.recordCrash(buildCrash('x', 1, 1000, 900), 1000);
       t.deepEqual(ledger.releaseStart(1, 900, 1500), []);
@@ -83,7 +83,7 @@
       t.is(getStanding(ledger, 'x'), STANDING.Clear);
     });
 
-    it('is forgotten a day after it last mattered', (t) => {
+    it('expires after a day without activity', (t) => {
       const ledger = createCaseLedger();
       recordInTurn(ledger, 'x', [1, 2, 3]);
       ledger.advance(3000 + DAY_MS);
@@ -93,8 +93,8 @@
     });
   });
 
-  block('what instances tell each other', ({ it }) => {
-    it('comes to the same evidence in any order, any number of times', (t) => {
+  block('reports between instances', ({ it }) => {
+    it('merge to the same evidence in any order and when repeated', (t) => {
       const event = fc.record({
         content: fc.constantFrom('x', 'y'),
         start: fc.integer({ min: 1, max: 6 }),
@@ -131,7 +131,7 @@
   block('popular requests', ({ it }) => {
     // Guards against refusing one organisation's requests for crashes that another's caused: each
     // popular request completes somewhere between two crashes.
-    it('are never condemned while they come to whole answers between crashes', (t) => {
+    it('are never condemned while they complete between crashes', (t) => {
       const crash = fc.array(fc.integer({ min: 0, max: 9 }), { minLength: 1, maxLength: 10 });
       fc.assert(
         fc.property(fc.array(crash, { maxLength: 30 }), (crashes) => {
@@ -153,10 +153,10 @@
     });
   });
 
-  block('its memory', ({ it }) => {
+  block('capacity', ({ it }) => {
     // Guards against one organisation evicting the others' cases by sending many different crashing
     // requests.
-    it('is bounded, and one organisation pushes out only its own cases', (t) => {
+    it('is bounded, and an organisation evicts only its own cases', (t) => {
       const ledger = createCaseLedger();
       recordInTurn(ledger, 'theirs', [1, 2, 3]);
       for (let count = 0; count < 5000; count += 1) {
@@ -167,7 +167,7 @@
       t.is(ledger.list().length, 513);
     });
 
-    it('takes no single crash from others when it is full', (t) => {
+    it('rejects a reported case with a single crash when full', (t) => {
       const ledger = createCaseLedger();
       for (let count = 0; count < 4096; count += 1) {
         const crash = buildCrash(`own-${count}`, count, 1000, 900);
--- a/src/quarantine/case-news.test.ts
+++ b/src/quarantine/case-news.test.ts
@@ -65,7 +65,7 @@
   return time.getNow() - SETTLING_MS;
 }
 
-describe('news of a content under which an engine ended', ({ it }) => {
+describe('a report of a crash case', ({ it }) => {
   // Guards against an uninformed instance sending the same request to another endpoint.
   for (const { count, dataCentres } of [
     { count: 7, dataCentres: 3 },
--- a/src/quarantine/case-outbox.test.ts
+++ b/src/quarantine/case-outbox.test.ts
@@ -14,7 +14,7 @@
 }
 
 describe('case outbox', ({ it }) => {
-  it('tells news four times in short order', (t) => {
+  it('sends a changed case four times', (t) => {
     const ledger = createCaseLedger();
     const outbox = createCaseOutbox();
     outbox.take(ledger.list(), 0);
@@ -27,7 +27,7 @@
 
   // Guards against a new instance sending a condemned request before it has learned of the case
   // from a large backlog.
-  it('tells the condemned every second and everything in turn', (t) => {
+  it('sends condemned cases every second and all others in rotation', (t) => {
     const ledger = createCaseLedger();
     const outbox = createCaseOutbox();
     addCrashes(ledger, 'condemned', 3);
@@ -41,7 +41,7 @@
     t.is(heard.size, 31);
   });
 
-  it('fits a datagram', (t) => {
+  it('limits a batch to the size of a datagram', (t) => {
     const ledger = createCaseLedger();
     const outbox = createCaseOutbox();
     for (let count = 0; count < 100; count += 1) {
--- a/src/quarantine/case-rows.test.ts
+++ b/src/quarantine/case-rows.test.ts
@@ -38,7 +38,7 @@
 
 describe('case rows', ({ it }) => {
   // Guards against forgetting condemned requests when all instances restart at once.
-  it('condemn a content at instances that know nothing', async (t) => {
+  it('condemn a content on an instance that has no cases', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
     const told: ToldCase[] = [];
@@ -48,7 +48,7 @@
       onTold: (one) => told.push(one),
     });
     await time.runUntil(2000);
-    t.deepEqual(told, [], 'an instance that does not follow the source has read it');
+    t.deepEqual(told, [], 'rows were read by an instance that does not follow the source');
     rows.setReading(true);
     await time.runUntil(4000);
     t.is(told.length, 1);
@@ -58,7 +58,7 @@
     timers.stop();
   });
 
-  it('are written as soon as the source takes them', async (t) => {
+  it('are written once the store accepts them', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
     const stored: CaseRow[] = [];
@@ -75,7 +75,7 @@
 
   // Guards against an old release, which is read again every minute, clearing crashes that were
   // found after it.
-  it('release a content from the crashes they name only', async (t) => {
+  it('release a content only from the crashes that they name', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
     const ledger = createCaseLedger();
--- a/src/quarantine/crash-detector.test.ts
+++ b/src/quarantine/crash-detector.test.ts
@@ -42,7 +42,7 @@
 }
 
 describe('crash detector', ({ it }) => {
-  it('names all that broke off at an endpoint that refuses connections, and asks once', async (t) => {
+  it('reports all interrupted answers of an endpoint that refuses connections, after one check', async (t) => {
     const { detector, crashes, countQuestions } = createTrial(ACCEPTANCE.Refused);
     detector.recordBroken(ENGINE, buildAnswer('x', 0));
     detector.recordBroken(ENGINE, buildAnswer('y', 1));
@@ -57,7 +57,7 @@
     t.is(countQuestions(), 1);
   });
 
-  it('blames nothing for connections that were reset', async (t) => {
+  it('reports no crash when the endpoint still accepts connections', async (t) => {
     const { detector, crashes } = createTrial(ACCEPTANCE.Accepted);
     detector.recordBroken(ENGINE, buildAnswer('x', 0));
     await waitForAnswers();
@@ -66,7 +66,7 @@
 
   // Guards against missing a crash that a connection check does not show, because the endpoint
   // restarted within milliseconds or was unreachable.
-  it('takes the word of the registry where a connection proved nothing', async (t) => {
+  it('reports a crash from the registry when the connection check proved nothing', async (t) => {
     for (const acceptance of [ACCEPTANCE.Accepted, ACCEPTANCE.Silent]) {
       const { detector, crashes } = createTrial(acceptance);
       detector.recordBroken(ENGINE, buildAnswer('x', 0));
@@ -81,7 +81,7 @@
 
   // Guards against missing a crash that left connections open: callers abandon their answers before
   // the registry reports the crash.
-  it('takes the word of the registry for answers that were given up in silence', (t) => {
+  it('reports a crash from the registry for answers abandoned after a silence', (t) => {
     const { detector, crashes, countQuestions } = createTrial(ACCEPTANCE.Accepted);
     detector.recordSilent(ENGINE, buildAnswer('x'));
     t.is(countQuestions(), 0);
@@ -91,7 +91,7 @@
     ]);
   });
 
-  it('blames nothing for an end that was planned, nor long after a connection was lost', async (t) => {
+  it('reports no crash for a planned shutdown or long after an interruption', async (t) => {
     const { detector, crashes } = createTrial(ACCEPTANCE.Accepted);
     detector.recordBroken(ENGINE, buildAnswer('x', 0));
     await waitForAnswers();
@@ -104,7 +104,7 @@
   });
 
   // Guards against unbounded memory, and against blaming old interruptions for a later crash.
-  it('forgets answers that broke off long before, while others still do', async (t) => {
+  it('drops old interrupted answers while new ones arrive', async (t) => {
     const { detector, crashes } = createTrial(ACCEPTANCE.Accepted);
     for (let second = 0; second <= 60; second += 1) {
       detector.recordBroken(ENGINE, buildAnswer(`at-${second}`, second * 1000));
--- a/src/quarantine/crashing-request.test.ts
+++ b/src/quarantine/crashing-request.test.ts
@@ -85,7 +85,7 @@
   const plays = await Promise.all(SEEDS.map((seed) => runCrashPlay({ ...options, seed })));
   plays.forEach((play, index) => {
     const late = countLateSends(play);
-    const message = `seed ${SEEDS[index]}: sent ${late} times too late, ${play.ends.length} ended`;
+    const message = `seed ${SEEDS[index]}: ${late} late sends, ${play.ends.length} endpoints crashed`;
     t.true(play.ends.length >= ENDS_MAX, message);
     t.true(late <= LATE_SENDS_MAX, message);
   });
@@ -98,10 +98,10 @@
   ).length;
 }
 
-describe('a request that ends each engine which runs it', ({ it }) => {
+describe('a request that crashes every endpoint running it', ({ it }) => {
   // Guards against counting a crash only against the endpoint and the call, so that the same
   // content under a new id crashes the next endpoint.
-  it('is not sent on when it comes again under new ids', (t) =>
+  it('is no longer sent when it is repeated under new ids', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.Stream,
       periodMs: 1800,
@@ -111,7 +111,7 @@
     }));
 
   // Guards against the instance itself retrying a resumable request on one endpoint after another.
-  it('is not taken to one engine after the other by second tries', (t) =>
+  it('is not retried on one endpoint after another', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.ResumableStream,
       periodMs: 1800,
@@ -122,7 +122,7 @@
 
   // Guards against each instance running its own copy before it can hear of the others: one lease
   // in the fleet must decide.
-  it('is run once more in the fleet when copies come to every instance at once', (t) =>
+  it('runs only once more when copies reach every instance at once', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.Stream,
       periodMs: 5000,
@@ -132,7 +132,7 @@
     }));
 
   // Propagation takes longest in a large fleet, where reports pass through several hops.
-  it('is known to 70 instances in time, also when 20 copies come at once', async (t) => {
+  it('is known to 70 instances in time when 20 copies arrive at once', async (t) => {
     const options = buildOptions({
       kind: CALL_KIND.Stream,
       periodMs: 3000,
@@ -141,14 +141,14 @@
       dataCentres: 3,
     });
     const play = await runCrashPlay({ ...options, seed: 1, engines: 42, lengthMs: 15_000 });
-    t.true(countLateSends(play) <= LATE_SENDS_MAX, `sent ${countLateSends(play)} times too late`);
+    t.true(countLateSends(play) <= LATE_SENDS_MAX, `${countLateSends(play)} late sends`);
   });
 });
 
-describe('requests beside one that ends engines', ({ it }) => {
+describe('requests beside one that crashes endpoints', ({ it }) => {
   // Guards against condemning a popular request, which runs on most endpoints at any time and so is
   // involved in most crashes.
-  it('are not turned away, however often they fall with it', async (t) => {
+  it('are not refused, however often its crashes interrupt them', async (t) => {
     const moments = listMoments(50, 1);
     const popular = { content: 'popular', played: ROUTES[0] as PlayedRoute, isCulprit: false };
     const crashes = [5, 9, 13, 17, 21].flatMap((second) =>
--- a/src/quarantine/organisation-backoff.test.ts
+++ b/src/quarantine/organisation-backoff.test.ts
@@ -33,7 +33,7 @@
 describe('organisation backoff', ({ it }) => {
   // Guards against an organisation that sends a new crashing request each time, each of which costs
   // three endpoints before it is condemned.
-  it('turns an organisation away after each end beyond some, twice as long each time', (t) => {
+  it('doubles the pause with each condemned content beyond the allowance', (t) => {
     const ledger = createCaseLedger();
     const backoff = createOrganisationBackoff();
     const pauses = [1, 2, 3, 4, 5, 6, 7, 20].map((index) => {
@@ -45,7 +45,7 @@
     t.is(backoff.computeLeftMs(OTHER, 20_000), 0);
   });
 
-  it('forgets contents that were released', (t) => {
+  it('no longer counts released contents', (t) => {
     const ledger = createCaseLedger();
     const backoff = createOrganisationBackoff();
     [1, 2, 3, 4, 5].forEach((index) => recordCulprit(ledger, backoff, index, index * 1000));
--- a/src/quarantine/trials.test.ts
+++ b/src/quarantine/trials.test.ts
@@ -47,18 +47,18 @@
   await new Promise(setImmediate);
 }
 
-describe(`trials of a content whose standing is '${STANDING.LastTrial}'`, ({ it }) => {
-  it('begin with the lease and keep others off their endpoint until they end', async (t) => {
+describe(`trials of a content in standing '${STANDING.LastTrial}'`, ({ it }) => {
+  it('start with the lease and reserve their endpoint until they end', async (t) => {
     const { trials, subject, asked, setNow } = createBench(true);
     t.false(trials.isDue(subject));
     await waitForAnswers();
     t.true(trials.isDue(subject));
     trials.start(subject, START);
-    t.false(trials.isDue(subject), 'a copy would run beside it');
+    t.false(trials.isDue(subject), 'a second copy may run');
     setNow(1000);
     trials.advance();
     setNow(2000);
-    t.true(trials.isInTrial(START), 'it was not renewed');
+    t.true(trials.isInTrial(START), 'the trial was not renewed');
     trials.stop(subject, true);
     t.false(trials.isInTrial(START));
     t.deepEqual(asked, ['x']);
@@ -66,7 +66,7 @@
 
   // Guards against running a trial without the lease when the source is down or another instance
   // holds it.
-  it('do not begin without the lease, which is asked for now and then', async (t) => {
+  it('do not start without the lease, which is requested periodically', async (t) => {
     const { trials, subject, asked, setNow } = createBench(false);
     for (let ms = 0; ms <= 1000; ms += 25) {
       setNow(ms);
@@ -78,7 +78,7 @@
   });
 
   // Guards against losing the lease while its call waits for capacity.
-  it('keep the lease while their call waits for room', async (t) => {
+  it('keep the lease while their call waits for capacity', async (t) => {
     const { trials, subject, asked, setNow } = createBench(true);
     trials.isDue(subject);
     await waitForAnswers();
@@ -90,7 +90,7 @@
     t.deepEqual(asked, ['x']);
   });
 
-  it('are given up with a lease that nobody used', async (t) => {
+  it('end when their lease is not used', async (t) => {
     const { trials, subject, setNow } = createBench(true);
     trials.isDue(subject);
     await waitForAnswers();
@@ -99,7 +99,7 @@
   });
 
   // Guards against losing the lease when the trial's endpoint cannot be reached.
-  it('that reached no endpoint leave the lease in hand', async (t) => {
+  it('keep the lease if they reached no endpoint', async (t) => {
     const { trials, subject } = createBench(true);
     trials.isDue(subject);
     await waitForAnswers();
@@ -111,7 +111,7 @@
     t.false(trials.isDue(subject));
   });
 
-  it('elsewhere count as long as they are told', (t) => {
+  it('on other instances count until their report expires', (t) => {
     const { trials, subject, asked, setNow } = createBench(true);
     subject.trial = { start: START, untilMs: 1500 };
     trials.record(subject.trial);
--- a/src/requests/request-life.test.ts
+++ b/src/requests/request-life.test.ts
@@ -84,8 +84,8 @@
   fc.constant({ kind: 'tick' as const, lateMs: 0 }),
 );
 
-describe('request life', ({ describe: describeInner, it }) => {
-  it('keeps its promises whatever comes, in whatever order', (t) => {
+describe('request lifecycle', ({ describe: describeInner, it }) => {
+  it('upholds its invariants for any sequence of messages', (t) => {
     const property = fc.property(
       fc.constantFrom(...Object.values(REPEATABILITY)),
       fc.array(messageArbitrary, { maxLength: 40 }),
@@ -116,7 +116,7 @@
   });
 
   describeInner('frames', ({ it: itInner }) => {
-    itInner('of another request reach nobody', (t) => {
+    itInner('of another request are dropped', (t) => {
       // Guards against delivering another request's text when an endpoint mixes up two requests on
       // one connection.
       const life = startSent();
@@ -130,7 +130,7 @@
       t.deepEqual(next, [{ kind: 'deliver', text: 'own ' }]);
     });
 
-    itInner('that skip ahead make the answer go on elsewhere from the gap', (t) => {
+    itInner('after a gap make the answer resume on another endpoint', (t) => {
       // Guards against delivering an answer with a gap when a frame is lost on the way.
       const life = startSent();
       life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 2);
@@ -147,7 +147,7 @@
       t.is(findCommand(resumed, 'dispatch')?.offset, 1);
     });
 
-    itInner('short of the end are never a whole answer', (t) => {
+    itInner('missing at the end never make a complete answer', (t) => {
       // Guards against taking a truncated answer for a whole one when the endpoint closes the
       // stream cleanly but early.
       const life = startSent({ takeRetry: () => false });
@@ -159,7 +159,7 @@
   });
 
   describeInner('silence', ({ it: itInner }) => {
-    itInner('moves a repeatable request', (t) => {
+    itInner('moves a repeatable request to another endpoint', (t) => {
       // Guards against waiting forever on a connection that stopped delivering frames without an
       // error.
       const life = startSent();
@@ -172,7 +172,7 @@
       );
     });
 
-    itInner('of our own making moves nothing', (t) => {
+    itInner('caused by a pause of this process moves no request', (t) => {
       // Guards against moving every answer after this process was paused, while the frames that
       // arrived meanwhile are still unread.
       const life = startSent();
@@ -180,7 +180,7 @@
       t.deepEqual(life.handle({ kind: 'tick', lateMs: 2000 }, 2100), []);
     });
 
-    itInner('never sends a request twice that may run once', (t) => {
+    itInner('never resends a request that may run only once', (t) => {
       // Guards against running a request twice because the endpoint is slow: it waits for the
       // deadline instead.
       const life = createLife({ repeatability: REPEATABILITY.Once });
@@ -194,7 +194,7 @@
     });
   });
 
-  it('does not send a claimed request after a pause that made its claim old', (t) => {
+  it('does not send a request whose claim expired during a pause', (t) => {
     // Guards against running a request twice after a pause between claiming and sending, when
     // another instance may hold the claim.
     const life = createLife({ repeatability: REPEATABILITY.Once, takeClaim: () => false });
@@ -206,7 +206,7 @@
     t.is(findCommand(commands, 'fail')?.failure.outcome, OUTCOME.NotRun);
   });
 
-  it('answers a caller once when it leaves after a replay', (t) => {
+  it('sends no second answer when the caller leaves after a replay', (t) => {
     // Guards against a second final answer, which would return the organisation's slot twice.
     const life = createLife({ repeatability: REPEATABILITY.Once });
     life.handle({ kind: 'start' }, 0);
