--- a/src/quarantine/case-ledger.ts
+++ b/src/quarantine/case-ledger.ts
@@ -5,7 +5,7 @@
 import type { ContentId } from '../calls/content-id.js';
 import type { EndpointKey } from '../placement/told-loads.js';
 import { STANDING, computeStanding } from './crash-case.js';
-import type { CrashCase, OrganisationKey, Standing, Strike } from './crash-case.js';
+import type { CrashCase, OrganisationKey, Standing, CrashRecord } from './crash-case.js';
 
 /** Long enough for an operator to see a case. */
 const RETENTION_MS = 24 * 60 * 60 * 1000;
@@ -19,7 +19,7 @@
  */
 const ORGANISATION_CASES_MAX = 512;
 /** Per content. */
-const STRIKES_MAX = 12;
+const CRASHES_MAX = 12;
 /** Per content; the oldest are dropped first. */
 const CLEARED_MAX = 16;
 
@@ -27,10 +27,10 @@
  * Minimum for accepting a reported case when full, so that instances do not keep evicting each
  * other's cases.
  */
-const REPORTED_STRIKES_MIN = 2;
+const REPORTED_CRASHES_MIN = 2;
 
 /** A crash found by this instance, with a content that was running on the endpoint. */
-export interface ContentCrash extends Strike {
+export interface ContentCrash extends CrashRecord {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
 }
@@ -130,16 +130,16 @@
     return subject;
   }
 
-  function addStrike({ content, strikes, cleared }: CrashCase, strike: Strike): boolean {
-    const { start } = strike;
-    if (strikes.has(start) || cleared.has(start) || strikes.size >= STRIKES_MAX) return false;
-    strikes.set(start, strike);
+  function addCrash({ content, strikes, cleared }: CrashCase, crash: CrashRecord): boolean {
+    const { start } = crash;
+    if (strikes.has(start) || cleared.has(start) || strikes.size >= CRASHES_MAX) return false;
+    strikes.set(start, crash);
     const contents = contentsOfStart.get(start) ?? new Set();
     contentsOfStart.set(start, contents.add(content));
     return true;
   }
 
-  function releaseStrike({ content, strikes, cleared }: CrashCase, start: EndpointKey): boolean {
+  function releaseCrash({ content, strikes, cleared }: CrashCase, start: EndpointKey): boolean {
     if (strikes.delete(start)) removeStart(start, content);
     if (cleared.has(start)) return false;
     cleared.add(start);
@@ -171,33 +171,33 @@
     recordCrash(crash, nowMs) {
       const { content, organisation, start, sentMs, crashedMs } = crash;
       const subject = getCase(content, organisation, nowMs);
-      return update(subject, nowMs, () => addStrike(subject, { start, sentMs, crashedMs }));
+      return update(subject, nowMs, () => addCrash(subject, { start, sentMs, crashedMs }));
     },
     release(content, nowMs) {
       const subject = cases.get(content);
       if (subject === undefined || subject.strikes.size === 0) return undefined;
       const starts = [...subject.strikes.keys()];
       return update(subject, nowMs, () =>
-        starts.map((start) => releaseStrike(subject, start)).some(Boolean),
+        starts.map((start) => releaseCrash(subject, start)).some(Boolean),
       );
     },
     releaseStart(start, sentMs, nowMs) {
       return [...(contentsOfStart.get(start) ?? [])].flatMap((content) => {
         const subject = cases.get(content);
-        const strike = subject?.strikes.get(start);
-        if (subject === undefined || strike === undefined || sentMs <= strike.crashedMs) return [];
-        return update(subject, nowMs, () => releaseStrike(subject, start)) ?? [];
+        const crash = subject?.strikes.get(start);
+        if (subject === undefined || crash === undefined || sentMs <= crash.crashedMs) return [];
+        return update(subject, nowMs, () => releaseCrash(subject, start)) ?? [];
       });
     },
     merge(report, nowMs) {
       const isFull = cases.size >= CASES_MAX && !cases.has(report.content);
-      if (isFull && report.strikes.length < REPORTED_STRIKES_MIN) return undefined;
+      if (isFull && report.strikes.length < REPORTED_CRASHES_MIN) return undefined;
       const subject = getCase(report.content, report.organisation, nowMs);
       mergeTrial(subject, report, nowMs);
       return update(subject, nowMs, () => {
-        const cleared = report.cleared.map((start) => releaseStrike(subject, start));
+        const cleared = report.cleared.map((start) => releaseCrash(subject, start));
         const added = report.strikes.map(({ start, sentAgoMs, crashedAgoMs }) =>
-          addStrike(subject, {
+          addCrash(subject, {
             start,
             sentMs: nowMs - sentAgoMs,
             crashedMs: nowMs - crashedAgoMs,
--- a/src/quarantine/check-acceptance.ts
+++ b/src/quarantine/check-acceptance.ts
@@ -16,14 +16,14 @@
       port: Number(address.slice(separator + 1)),
       timeout: CONNECT_TIMEOUT_MS,
     });
-    const close = (acceptance: Acceptance): void => {
+    const close = (result: Acceptance): void => {
       socket.destroy();
-      resolve(acceptance);
+      resolve(result);
     };
     socket.once('connect', () => close(ACCEPTANCE.Accepted));
-    socket.once('timeout', () => close(ACCEPTANCE.Silent));
+    socket.once('timeout', () => close(ACCEPTANCE.Unreachable));
     socket.on('error', (error: NodeJS.ErrnoException) => {
-      close(error.code === REFUSED_CODE ? ACCEPTANCE.Refused : ACCEPTANCE.Silent);
+      close(error.code === REFUSED_CODE ? ACCEPTANCE.Refused : ACCEPTANCE.Unreachable);
     });
   });
 }
--- a/src/quarantine/crash-case.ts
+++ b/src/quarantine/crash-case.ts
@@ -9,7 +9,7 @@
 export type OrganisationKey = number;
 
 /** A crash of an endpoint that was running the content. Times are on the local monotonic clock. */
-export interface Strike {
+export interface CrashRecord {
   /** The endpoint's start that crashed. */
   readonly start: EndpointKey;
   readonly sentMs: number;
@@ -28,7 +28,7 @@
 export interface CrashCase {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
-  readonly strikes: Map<EndpointKey, Strike>;
+  readonly strikes: Map<EndpointKey, CrashRecord>;
   /** Crashes that no longer count, even if a peer reports them again. */
   readonly cleared: Set<EndpointKey>;
   trial: Trial | undefined;
@@ -50,8 +50,8 @@
 export type Standing = (typeof STANDING)[keyof typeof STANDING];
 
 /** An innocent content is rarely involved in two crashes, and its third run is alone. */
-const STRIKES_TO_CONDEMN = 3;
-const STRIKES_LAST_TRIAL = STRIKES_TO_CONDEMN - 1;
+const CRASHES_TO_CONDEMN = 3;
+const CRASHES_FOR_LAST_TRIAL = CRASHES_TO_CONDEMN - 1;
 /**
  * Successive crashes that condemn, each of a run that began after the previous crash. Guards
  * against condemning a popular request when several endpoints that run it lose power together.
@@ -59,7 +59,7 @@
 const ROUNDS_TO_CONDEMN = 2;
 
 /** Counts successive crashes, each of a run that began after the previous one. */
-function countRounds(strikes: Iterable<Strike>): number {
+function countRounds(strikes: Iterable<CrashRecord>): number {
   const ordered = [...strikes].sort((a, b) => a.crashedMs - b.crashedMs);
   let rounds = 0;
   let lastCrashMs = -Infinity;
@@ -76,8 +76,8 @@
 export function computeStanding({ strikes }: CrashCase, pendingChecks = 0): Standing {
   const count = strikes.size + pendingChecks;
   if (count === 0) return STANDING.Clear;
-  if (count < STRIKES_LAST_TRIAL) return STANDING.Suspect;
-  if (count < STRIKES_TO_CONDEMN) return STANDING.LastTrial;
+  if (count < CRASHES_FOR_LAST_TRIAL) return STANDING.Suspect;
+  if (count < CRASHES_TO_CONDEMN) return STANDING.LastTrial;
   const rounds = countRounds(strikes.values()) + pendingChecks;
   return rounds < ROUNDS_TO_CONDEMN ? STANDING.LastTrial : STANDING.Condemned;
 }
--- a/src/quarantine/crash-detector.test.ts
+++ b/src/quarantine/crash-detector.test.ts
@@ -72,7 +72,7 @@
   // Guards against missing a crash that a connection check does not show, because the endpoint
   // restarted within milliseconds or was unreachable.
   it('reports a crash from the registry when the connection check proved nothing', async (t) => {
-    for (const acceptance of [ACCEPTANCE.Accepted, ACCEPTANCE.Silent]) {
+    for (const acceptance of [ACCEPTANCE.Accepted, ACCEPTANCE.Unreachable]) {
       const { detector, crashes } = createSetup(acceptance);
       detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
       // eslint-disable-next-line no-await-in-loop
--- a/src/quarantine/crash-detector.ts
+++ b/src/quarantine/crash-detector.ts
@@ -16,7 +16,7 @@
   /** Nothing listens on the port. */
   Refused: 'refused',
   /** No answer: the endpoint or the network path to it is down. */
-  Silent: 'silent',
+  Unreachable: 'silent',
 } as const;
 export type Acceptance = (typeof ACCEPTANCE)[keyof typeof ACCEPTANCE];
 
@@ -85,10 +85,10 @@
   async function checkSuspicion(suspicion: Suspicion): Promise<void> {
     const { endpoint } = suspicion;
     suspicion.isChecking = true;
-    const acceptance = await options.checkAcceptance(endpoint.address);
+    const result = await options.checkAcceptance(endpoint.address);
     suspicion.isChecking = false;
     if (suspicions.get(endpoint.startId) !== suspicion) return;
-    if (acceptance === ACCEPTANCE.Refused) {
+    if (result === ACCEPTANCE.Refused) {
       suspicions.delete(endpoint.startId);
       options.onCrash({ endpoint, answers: suspicion.pending, evidence: 'connection refused' });
       return;
--- a/src/quarantine/organisation-backoff.ts
+++ b/src/quarantine/organisation-backoff.ts
@@ -44,7 +44,7 @@
       if (standing === STANDING.Condemned) {
         const record = getRecord(organisation);
         record.condemned.add(content);
-        const crashedMs = [...strikes.values()].map((strike) => strike.crashedMs);
+        const crashedMs = [...strikes.values()].map((crash) => crash.crashedMs);
         record.lastCrashMs = Math.max(record.lastCrashMs, ...crashedMs);
       } else if (before === STANDING.Condemned) {
         records.get(organisation)?.condemned.delete(content);
--- a/src/quarantine/quarantine-api.ts
+++ b/src/quarantine/quarantine-api.ts
@@ -27,7 +27,7 @@
 export function listCases(cases: readonly CrashCase[], nowMs: number): ListedCase[] {
   return cases
     .map((subject) => {
-      const crashedMs = [...subject.strikes.values()].map((strike) => strike.crashedMs);
+      const crashedMs = [...subject.strikes.values()].map((crash) => crash.crashedMs);
       return {
         content: subject.content,
         standing: computeStanding(subject),
--- a/src/requests/request-life.test.ts
+++ b/src/requests/request-life.test.ts
@@ -15,7 +15,7 @@
   readonly takeRetry?: () => boolean;
 }
 
-function createLife(setup: Setup = {}) {
+function createLifecycle(setup: Setup = {}) {
   const invariants = createInvariants((breach) => {
     throw new Error(`${breach.name}: ${breach.detail}`);
   });
@@ -37,12 +37,12 @@
   );
 }
 
-function startSent(setup: Setup = {}) {
-  const life = createLife(setup);
-  const started = life.handle({ kind: 'start' }, 0);
+function startLifecycle(setup: Setup = {}) {
+  const lifecycle = createLifecycle(setup);
+  const started = lifecycle.handle({ kind: 'start' }, 0);
   const acquired = findCommand(started, 'acquire');
-  life.handle({ kind: 'granted', ticketId: acquired?.ticketId ?? '', endpoint: 'e1' }, 1);
-  return life;
+  lifecycle.handle({ kind: 'granted', ticketId: acquired?.ticketId ?? '', endpoint: 'e1' }, 1);
+  return lifecycle;
 }
 
 /** Any message, valid in the current state or not. */
@@ -91,14 +91,14 @@
       fc.array(messageArbitrary, { maxLength: 40 }),
       fc.array(fc.integer({ min: 0, max: 400 }), { minLength: 40, maxLength: 40 }),
       (repeatability, messages, waits) => {
-        const life = createLife({ repeatability });
-        const all = [...life.handle({ kind: 'start' }, 0)];
+        const lifecycle = createLifecycle({ repeatability });
+        const all = [...lifecycle.handle({ kind: 'start' }, 0)];
         let nowMs = 0;
         messages.forEach((message, index) => {
           nowMs += waits[index] ?? 0;
           const text = message.kind === 'frame' ? `${message.index} ` : '';
           const shaped = message.kind === 'frame' ? { ...message, text } : message;
-          all.push(...life.handle(shaped, nowMs));
+          all.push(...lifecycle.handle(shaped, nowMs));
         });
         const finals = all.filter(({ kind }) => ['complete', 'fail', 'replay'].includes(kind));
         const delivered = all
@@ -119,28 +119,31 @@
     itInner('of another request are dropped', (t) => {
       // Guards against delivering another request's text when an endpoint mixes up two requests on
       // one connection.
-      const life = startSent();
-      life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'mine ' }, 2);
-      const crossed = life.handle(
+      const lifecycle = startLifecycle();
+      lifecycle.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'mine ' }, 2);
+      const crossed = lifecycle.handle(
         { kind: 'frame', attemptId: 'x-1', index: 1, text: 'theirs ' },
         3,
       );
       t.deepEqual(crossed, [{ kind: 'drop_frame', reason: 'foreign' }]);
-      const next = life.handle({ kind: 'frame', attemptId: 'r-1', index: 1, text: 'own ' }, 4);
+      const next = lifecycle.handle({ kind: 'frame', attemptId: 'r-1', index: 1, text: 'own ' }, 4);
       t.deepEqual(next, [{ kind: 'deliver', text: 'own ' }]);
     });
 
     itInner('after a gap make the answer resume on another endpoint', (t) => {
       // Guards against delivering an answer with a gap when a frame is lost on the way.
-      const life = startSent();
-      life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 2);
-      const commands = life.handle({ kind: 'frame', attemptId: 'r-1', index: 2, text: 'c ' }, 3);
+      const lifecycle = startLifecycle();
+      lifecycle.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 2);
+      const commands = lifecycle.handle(
+        { kind: 'frame', attemptId: 'r-1', index: 2, text: 'c ' },
+        3,
+      );
       t.deepEqual(
         commands.map(({ kind }) => kind),
         ['drop_frame', 'cancel_attempt', 'release', 'acquire'],
       );
       const acquired = findCommand(commands, 'acquire');
-      const resumed = life.handle(
+      const resumed = lifecycle.handle(
         { kind: 'granted', ticketId: acquired?.ticketId ?? '', endpoint: 'e2' },
         4,
       );
@@ -150,9 +153,9 @@
     itInner('missing at the end never make a complete answer', (t) => {
       // Guards against taking a truncated answer for a whole one when the endpoint closes the
       // stream cleanly but early.
-      const life = startSent({ takeRetry: () => false });
-      life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 2);
-      const commands = life.handle({ kind: 'finished', attemptId: 'r-1', index: 3 }, 3);
+      const lifecycle = startLifecycle({ takeRetry: () => false });
+      lifecycle.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 2);
+      const commands = lifecycle.handle({ kind: 'finished', attemptId: 'r-1', index: 3 }, 3);
       t.is(findCommand(commands, 'complete'), undefined);
       t.is(findCommand(commands, 'fail')?.failure.outcome, OUTCOME.Incomplete);
     });
@@ -162,10 +165,10 @@
     itInner('moves a repeatable request to another endpoint', (t) => {
       // Guards against waiting forever on a connection that stopped delivering frames without an
       // error.
-      const life = startSent();
-      life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 10);
-      t.deepEqual(life.handle({ kind: 'tick', lateMs: 0 }, 200), []);
-      const commands = life.handle({ kind: 'tick', lateMs: 0 }, 220);
+      const lifecycle = startLifecycle();
+      lifecycle.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 10);
+      t.deepEqual(lifecycle.handle({ kind: 'tick', lateMs: 0 }, 200), []);
+      const commands = lifecycle.handle({ kind: 'tick', lateMs: 0 }, 220);
       t.deepEqual(
         commands.map(({ kind }) => kind),
         ['cancel_attempt', 'release', 'acquire'],
@@ -175,21 +178,21 @@
     itInner('caused by a pause of this process moves no request', (t) => {
       // Guards against moving every answer after this process was paused, while the frames that
       // arrived meanwhile are still unread.
-      const life = startSent();
-      life.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 10);
-      t.deepEqual(life.handle({ kind: 'tick', lateMs: 2000 }, 2100), []);
+      const lifecycle = startLifecycle();
+      lifecycle.handle({ kind: 'frame', attemptId: 'r-1', index: 0, text: 'a ' }, 10);
+      t.deepEqual(lifecycle.handle({ kind: 'tick', lateMs: 2000 }, 2100), []);
     });
 
     itInner('never resends a request that may run only once', (t) => {
       // Guards against running a request twice because the endpoint is slow: it waits for the
       // deadline instead.
-      const life = createLife({ repeatability: REPEATABILITY.Once });
-      life.handle({ kind: 'start' }, 0);
-      const claimed = life.handle({ kind: 'claimed' }, 1);
+      const lifecycle = createLifecycle({ repeatability: REPEATABILITY.Once });
+      lifecycle.handle({ kind: 'start' }, 0);
+      const claimed = lifecycle.handle({ kind: 'claimed' }, 1);
       const ticketId = findCommand(claimed, 'acquire')?.ticketId ?? '';
-      life.handle({ kind: 'granted', ticketId, endpoint: 'e1' }, 2);
-      t.deepEqual(life.handle({ kind: 'tick', lateMs: 0 }, 5000), []);
-      const late = life.handle({ kind: 'tick', lateMs: 0 }, DEADLINE_MS);
+      lifecycle.handle({ kind: 'granted', ticketId, endpoint: 'e1' }, 2);
+      t.deepEqual(lifecycle.handle({ kind: 'tick', lateMs: 0 }, 5000), []);
+      const late = lifecycle.handle({ kind: 'tick', lateMs: 0 }, DEADLINE_MS);
       t.is(findCommand(late, 'fail')?.failure.outcome, OUTCOME.MayHaveRun);
     });
   });
@@ -197,20 +200,23 @@
   it('does not send a request whose claim expired during a pause', (t) => {
     // Guards against running a request twice after a pause between claiming and sending, when
     // another instance may hold the claim.
-    const life = createLife({ repeatability: REPEATABILITY.Once, takeClaim: () => false });
-    life.handle({ kind: 'start' }, 0);
-    const claimed = life.handle({ kind: 'claimed' }, 1);
+    const lifecycle = createLifecycle({
+      repeatability: REPEATABILITY.Once,
+      takeClaim: () => false,
+    });
+    lifecycle.handle({ kind: 'start' }, 0);
+    const claimed = lifecycle.handle({ kind: 'claimed' }, 1);
     const ticketId = findCommand(claimed, 'acquire')?.ticketId ?? '';
-    const commands = life.handle({ kind: 'granted', ticketId, endpoint: 'e1' }, 2);
+    const commands = lifecycle.handle({ kind: 'granted', ticketId, endpoint: 'e1' }, 2);
     t.is(findCommand(commands, 'dispatch'), undefined);
     t.is(findCommand(commands, 'fail')?.failure.outcome, OUTCOME.NotRun);
   });
 
   it('sends no second answer when the caller leaves after a replay', (t) => {
     // Guards against a second final answer, which would return the organisation's slot twice.
-    const life = createLife({ repeatability: REPEATABILITY.Once });
-    life.handle({ kind: 'start' }, 0);
-    t.deepEqual(life.handle({ kind: 'replayed' }, 1), [{ kind: 'replay' }]);
-    t.deepEqual(life.handle({ kind: 'caller_left' }, 2), []);
+    const lifecycle = createLifecycle({ repeatability: REPEATABILITY.Once });
+    lifecycle.handle({ kind: 'start' }, 0);
+    t.deepEqual(lifecycle.handle({ kind: 'replayed' }, 1), [{ kind: 'replay' }]);
+    t.deepEqual(lifecycle.handle({ kind: 'caller_left' }, 2), []);
   });
 });
