--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -80,7 +80,7 @@
   check(call: RoutedCall): AdmissionDecision;
   /** Whether the call would be refused. */
   isCondemned(call: RoutedCall): boolean;
-  /** Call when the call is sent. */
+  /** Must be called when the call is sent to the endpoint. */
   startWatch(call: RoutedCall, endpoint: RegisteredEndpoint): AttemptWatch;
   /** Whether a trial runs on the endpoint, so that other calls must avoid it. */
   isInTrial(endpoint: RegisteredEndpoint): boolean;
