--- a/src/quarantine/case-outbox.test.ts
+++ b/src/quarantine/case-outbox.test.ts
@@ -14,39 +14,39 @@
 }
 
 describe('case outbox', ({ it }) => {
-  it('tells news four times in short order', (t) => {
+  it('sends a changed case four times', (t) => {
     const ledger = createCaseLedger();
     const outbox = createCaseOutbox();
     outbox.take(ledger.list(), 0);
     addCrashes(ledger, 'x', 1);
-    outbox.recordNews('x');
-    let told = 0;
-    for (let ms = 100; ms < 1000; ms += 100) told += outbox.take(ledger.list(), ms).length;
-    t.is(told, 4);
+    outbox.recordUpdate('x');
+    let sent = 0;
+    for (let ms = 100; ms < 1000; ms += 100) sent += outbox.take(ledger.list(), ms).length;
+    t.is(sent, 4);
   });
 
-  // An instance starts anew while the fleet holds hundreds of cases: it must hear of what it must not
-  // send within a moment, and of all the rest in time.
-  it('tells the condemned every second and everything in turn', (t) => {
+  // Guards against a new instance sending a condemned request before it has learned of the case
+  // from a large backlog.
+  it('sends condemned cases every second and all others in rotation', (t) => {
     const ledger = createCaseLedger();
     const outbox = createCaseOutbox();
     addCrashes(ledger, 'condemned', 3);
     for (let count = 0; count < 30; count += 1) addCrashes(ledger, `suspect-${count}`, 1);
-    const heard = new Set<string>();
+    const received = new Set<string>();
     for (let ms = 0; ms < 12_000; ms += 1000) {
       const contents = outbox.take(ledger.list(), ms).map(({ content }) => content);
       t.true(contents.includes('condemned'));
-      for (const content of contents) heard.add(content);
+      for (const content of contents) received.add(content);
     }
-    t.is(heard.size, 31);
+    t.is(received.size, 31);
   });
 
-  it('fits a datagram', (t) => {
+  it('limits a batch to the size of a datagram', (t) => {
     const ledger = createCaseLedger();
     const outbox = createCaseOutbox();
     for (let count = 0; count < 100; count += 1) {
       addCrashes(ledger, `suspect-${count}`, 1);
-      outbox.recordNews(`suspect-${count}`);
+      outbox.recordUpdate(`suspect-${count}`);
     }
     t.true(outbox.take(ledger.list(), 0).length <= 14);
   });
--- a/src/quarantine/trials.ts
+++ b/src/quarantine/trials.ts
@@ -1,90 +1,83 @@
 /**
- * Sees to it that a content which may end one more endpoint runs once in the whole fleet, and that others
- * stay away from that endpoint meanwhile. Free of I/O.
- *
- * Guards against copies that come to many instances at one moment: each would run its own, and a pool
- * would lose as many endpoints as there are copies. Tellings take some hundred milliseconds, so that only
- * a lease taken under a condition at the source decides who runs it. While the source cannot be reached,
- * nobody does.
+ * Allows a content that may crash its endpoint one run in the whole fleet, and keeps other calls
+ * away from that endpoint. Does no I/O. Guards against copies that reach many instances at once:
+ * reports between peers are too slow to prevent parallel runs, so a lease from the source decides,
+ * and without it nothing runs.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { EndpointKey } from '../placement/told-loads.js';
 import type { CrashCase, Trial } from './crash-case.js';
 
-/** A trial that is told counts this long without a renewal, in milliseconds: some tellings may be lost. */
-const TOLD_LEASE_MS = 1500;
-/** It is renewed this often, in milliseconds. */
-const RENEWAL_MS = 500;
-/** After a lease was refused, or could not be asked for, the next question waits this long, in milliseconds. */
-const ASK_PERIOD_MS = 500;
-/** A lease that nobody used is given up after this long, in milliseconds: its call has left meanwhile. */
-const UNUSED_MAX_MS = 1000;
+/** Outlasts the loss of a renewal or two. */
+const TRIAL_LEASE_MS = 1500;
+const RENEWAL_PERIOD_MS = 500;
+/** Interval between requests for a lease. */
+const REQUEST_PERIOD_MS = 500;
+/** Time after which an unused lease is dropped, because its call has left. */
+const UNUSED_LEASE_MAX_MS = 1000;
 
-/** Takes the lease of a content; false where another instance has it, or nobody can tell. */
+/** Takes the lease on a content's trial; false if it is held or cannot be obtained. */
 export type TakeTrialLease = (content: ContentId) => Promise<boolean>;
 
-/** What trials are built on. */
 export interface TrialsOptions {
   readonly takeLease: TakeTrialLease;
   readonly getNow: () => number;
-  /** Others are to be told of the content's trial. */
-  readonly onNews: (content: ContentId) => void;
+  /** The content's trial changed and must be reported to peers. */
+  readonly onUpdate: (content: ContentId) => void;
 }
 
-/** The trials that one instance runs and knows of. */
+/** Trials run by this instance or reported by its peers. */
 export interface Trials {
-  /** Whether a call may run the content now; asks for the lease where nobody seems to have it. */
+  /** Whether a call may run the content now; requests the lease if no trial is known. */
   isDue(subject: CrashCase): boolean;
-  /** The content is sent to an endpoint. */
   start(subject: CrashCase, start: EndpointKey): void;
-  /** `isRun`: an endpoint may have begun it; else the lease is in hand again. */
-  stop(subject: CrashCase, isRun: boolean): void;
-  /** Another instance told of a trial. */
+  /** Without `mayHaveRun`, no endpoint began the content, and the lease is kept for another try. */
+  stop(subject: CrashCase, mayHaveRun: boolean): void;
+  /** Records a trial that a peer reported. */
   record(trial: Trial): void;
-  /** Whether any endpoint is: asked at every choice, before an endpoint's start is hashed. */
+  /** Cheap check that saves callers from hashing every endpoint's start. */
   hasAny(): boolean;
-  /** Whether an endpoint is in use for a trial. */
   isInTrial(start: EndpointKey): boolean;
   advance(): void;
 }
 
-/** A lease that is asked for or in hand. */
+/** A lease that was requested; held once `takenMs` is set. */
 interface Lease {
-  readonly askedMs: number;
+  readonly requestedMs: number;
   takenMs: number | undefined;
 }
 
-/** Builds trials of nothing. */
-export function createTrials({ takeLease, getNow, onNews }: TrialsOptions): Trials {
+export function createTrials({ takeLease, getNow, onUpdate }: TrialsOptions): Trials {
   const leases = new Map<ContentId, Lease>();
   const running = new Map<CrashCase, EndpointKey>();
-  /** Endpoints where trials run, here or elsewhere, and until when. */
-  const untilMsOf = new Map<EndpointKey, number>();
+  /** Expiry times of trials by endpoint, including those of other instances. */
+  const expiryByStart = new Map<EndpointKey, number>();
   let renewedMs = -Infinity;
 
-  async function takeLeaseOf(content: ContentId): Promise<void> {
-    const lease: Lease = { askedMs: getNow(), takenMs: undefined };
+  async function takeLeaseFor(content: ContentId): Promise<void> {
+    const lease: Lease = { requestedMs: getNow(), takenMs: undefined };
     leases.set(content, lease);
     if (await takeLease(content)) lease.takenMs = getNow();
   }
 
-  /** A call that still waits for room keeps the lease by asking for it. */
-  function isInHand(content: ContentId): boolean {
+  /** Also renews the lease, since the asking call still waits for capacity. */
+  function isLeaseHeld(content: ContentId): boolean {
     const lease = leases.get(content);
-    if (lease?.takenMs === undefined || getNow() - lease.takenMs > UNUSED_MAX_MS) return false;
+    if (lease?.takenMs === undefined || getNow() - lease.takenMs > UNUSED_LEASE_MAX_MS)
+      return false;
     lease.takenMs = getNow();
     return true;
   }
 
   function setTrial(subject: CrashCase, start: EndpointKey): void {
-    const trial: Trial = { start, untilMs: getNow() + TOLD_LEASE_MS };
+    const trial: Trial = { start, expiresMs: getNow() + TRIAL_LEASE_MS };
     subject.trial = trial;
-    untilMsOf.set(start, trial.untilMs);
-    onNews(subject.content);
+    expiryByStart.set(start, trial.expiresMs);
+    onUpdate(subject.content);
   }
 
   function updateRunning(nowMs: number): void {
-    if (running.size === 0 || nowMs - renewedMs < RENEWAL_MS) return;
+    if (running.size === 0 || nowMs - renewedMs < RENEWAL_PERIOD_MS) return;
     renewedMs = nowMs;
     for (const [subject, start] of running) setTrial(subject, start);
   }
@@ -92,10 +85,10 @@
   return {
     isDue({ content, trial }) {
       const nowMs = getNow();
-      if (trial !== undefined && trial.untilMs > nowMs) return false;
-      if (isInHand(content)) return true;
-      const askedMs = leases.get(content)?.askedMs ?? -Infinity;
-      if (nowMs - askedMs >= ASK_PERIOD_MS) takeLeaseOf(content).catch(() => undefined);
+      if (trial !== undefined && trial.expiresMs > nowMs) return false;
+      if (isLeaseHeld(content)) return true;
+      const requestedMs = leases.get(content)?.requestedMs ?? -Infinity;
+      if (nowMs - requestedMs >= REQUEST_PERIOD_MS) takeLeaseFor(content).catch(() => undefined);
       return false;
     },
     start(subject, start) {
@@ -103,26 +96,27 @@
       running.set(subject, start);
       setTrial(subject, start);
     },
-    stop(subject, isRun) {
+    stop(subject, mayHaveRun) {
       const start = running.get(subject);
       if (start === undefined) return;
       running.delete(subject);
-      if (!isRun) leases.set(subject.content, { askedMs: getNow(), takenMs: getNow() });
-      untilMsOf.delete(start);
+      if (!mayHaveRun) leases.set(subject.content, { requestedMs: getNow(), takenMs: getNow() });
+      expiryByStart.delete(start);
       subject.trial = undefined;
     },
-    record({ start, untilMs }) {
-      untilMsOf.set(start, untilMs);
+    record({ start, expiresMs }) {
+      expiryByStart.set(start, expiresMs);
     },
-    hasAny: () => untilMsOf.size > 0,
-    isInTrial: (start) => (untilMsOf.get(start) ?? 0) > getNow(),
+    hasAny: () => expiryByStart.size > 0,
+    isInTrial: (start) => (expiryByStart.get(start) ?? 0) > getNow(),
     advance() {
       const nowMs = getNow();
       updateRunning(nowMs);
-      for (const [start, untilMs] of untilMsOf) if (untilMs <= nowMs) untilMsOf.delete(start);
-      for (const [content, { askedMs, takenMs }] of leases) {
-        const usedMs = Math.max(askedMs, takenMs ?? 0);
-        if (nowMs - usedMs > ASK_PERIOD_MS + UNUSED_MAX_MS) leases.delete(content);
+      for (const [start, expiresMs] of expiryByStart)
+        if (expiresMs <= nowMs) expiryByStart.delete(start);
+      for (const [content, { requestedMs, takenMs }] of leases) {
+        const usedMs = Math.max(requestedMs, takenMs ?? 0);
+        if (nowMs - usedMs > REQUEST_PERIOD_MS + UNUSED_LEASE_MAX_MS) leases.delete(content);
       }
     },
   };
