--- a/src/calls/attempt-bounds.ts
+++ b/src/calls/attempt-policy.ts
@@ -6,11 +6,11 @@
 import type { AttemptEnd, RoutedCall } from './call-messages.js';
 
 /** An attempt counts as stalled after this many times the route's target. */
-const STALL_TARGETS = 3;
+const FIRST_RESPONSE_TARGET_FACTOR = 3;
 /** A stream's first event counts as stalled no sooner than after this many of its longest pauses: its prompt may stand behind others. */
-const STALL_PAUSES = 6;
+const FIRST_RESPONSE_GAP_FACTOR = 6;
 /** A stream counts as stalled after this many times the longest pause that is still in time: an engine that has turned three times slower still serves. */
-const GAP_PAUSES = 3;
+const STREAM_IDLE_GAP_FACTOR = 3;
 const SERVER_ERROR_MIN = 500;
 
 /** Whether the answer is an event stream. */
@@ -19,17 +19,20 @@
 }
 
 /** Silence after which an attempt without an answer is given up, in milliseconds. */
-export function computeStallMs({ route }: RoutedCall): number {
-  return Math.max(route.targetMs * STALL_TARGETS, (route.gapTargetMs ?? 0) * STALL_PAUSES);
+export function computeFirstResponseTimeoutMs({ route }: RoutedCall): number {
+  return Math.max(
+    route.targetMs * FIRST_RESPONSE_TARGET_FACTOR,
+    (route.gapTargetMs ?? 0) * FIRST_RESPONSE_GAP_FACTOR,
+  );
 }
 
 /** Silence after which a stream that began is given up, in milliseconds. */
-export function computeGapMs({ route }: RoutedCall): number {
-  return (route.gapTargetMs ?? route.targetMs) * GAP_PAUSES;
+export function computeStreamIdleTimeoutMs({ route }: RoutedCall): number {
+  return (route.gapTargetMs ?? route.targetMs) * STREAM_IDLE_GAP_FACTOR;
 }
 
 /** What an attempt's end says of its endpoint. */
-export function computeVerdict(end: AttemptEnd): EndpointVerdict {
+export function computeEndpointVerdict(end: AttemptEnd): EndpointVerdict {
   switch (end.kind) {
     case 'unsent':
       return ENDPOINT_VERDICT.Unreachable;
--- a/src/calls/attempt-reader.ts
+++ b/src/calls/attempt-reader.ts
@@ -3,7 +3,7 @@
  * it is whole, whether the endpoint ran anything.
  */
 import type { AnswerHead, AttemptEnd, HeaderField } from './call-messages.js';
-import { CALL_ANSWER_BYTES_MAX } from './call-limits.js';
+import { RESPONSE_BYTES_MAX } from './response-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
 
@@ -40,8 +40,8 @@
   readError(isSent: boolean, reason: string): void;
 }
 
-const SUCCESS_MIN = 200;
-const SUCCESS_MAX = 299;
+const SUCCESS_STATUS_MIN = 200;
+const SUCCESS_STATUS_MAX = 299;
 
 /** Builds a reader for the call with this id. */
 export function createAttemptReader(
@@ -50,7 +50,7 @@
   listener: AttemptListener,
 ): AttemptReader {
   const splitter = createEventSplitter();
-  const pieces: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytesRead = 0;
   let head: AnswerHead | undefined;
   let mode: 'none' | 'stream' | 'whole' | 'rejected' | 'ended' = 'none';
@@ -71,21 +71,21 @@
     return true;
   }
 
-  function readWhole(bytes: Buffer): boolean {
-    pieces.push(bytes);
+  function readBody(bytes: Buffer): boolean {
+    chunks.push(bytes);
     bytesRead += bytes.length;
-    if (bytesRead <= CALL_ANSWER_BYTES_MAX) return true;
+    if (bytesRead <= RESPONSE_BYTES_MAX) return true;
     close({ kind: 'broken', reason: 'an answer beyond the largest size' });
     return false;
   }
 
   return {
     readHead(status, decoded) {
-      const isSuccess = status >= SUCCESS_MIN && status <= SUCCESS_MAX;
+      const isSuccess = status >= SUCCESS_STATUS_MIN && status <= SUCCESS_STATUS_MAX;
       // Guards against late answers to earlier calls of the connection: delivering one would hand a
       // caller somebody else's answer.
-      const isForeign = decoded.callId !== undefined && decoded.callId !== callId;
-      if (isForeign || (isSuccess && decoded.callId === undefined)) {
+      const isOtherCall = decoded.callId !== undefined && decoded.callId !== callId;
+      if (isOtherCall || (isSuccess && decoded.callId === undefined)) {
         close({ kind: 'broken', reason: 'an answer to another call' });
         return false;
       }
@@ -108,18 +108,19 @@
         case 'stream':
           return readStream(bytes);
         case 'whole':
-          return readWhole(bytes);
+          return readBody(bytes);
         default:
           return mode === 'rejected';
       }
     },
     readEnd() {
       if (mode === 'stream') {
-        if (splitter.hasRest()) close({ kind: 'broken', reason: 'half an event at the end' });
+        if (splitter.hasPartialEvent())
+          close({ kind: 'broken', reason: 'half an event at the end' });
         else close({ kind: 'stream_ended' });
       } else if (mode === 'rejected') close({ kind: 'rejected', isWrongEndpoint });
       else if (mode === 'whole' && head !== undefined) {
-        close({ kind: 'answered', head, body: Buffer.concat(pieces) });
+        close({ kind: 'answered', head, body: Buffer.concat(chunks) });
       }
     },
     readError(isSent, reason) {
--- a/src/calls/call-runner.ts
+++ b/src/calls/call-runner.ts
@@ -12,11 +12,16 @@
 import type { RegisteredEndpoint, TrafficPool } from '../types/traffic.js';
 import type { RequestFailure } from '../types/outcomes.js';
 import { assertNever } from '../utils/assert-never.js';
-import { computeGapMs, computeStallMs, computeVerdict, isStream } from './attempt-bounds.js';
+import {
+  computeStreamIdleTimeoutMs,
+  computeFirstResponseTimeoutMs,
+  computeEndpointVerdict,
+  isStream,
+} from './attempt-policy.js';
 import { createAttemptReader } from './attempt-reader.js';
-import { createCallLife } from './call-life.js';
-import { computeConnectionsMax } from './connection-share.js';
-import type { CallLife } from './call-life.js';
+import { createCallStateMachine } from './call-state-machine.js';
+import { computeConnectionsMax } from './connection-limit.js';
+import type { CallStateMachine } from './call-state-machine.js';
 import type {
   AttemptEnd,
   CallCommand,
@@ -26,14 +31,14 @@
   RoutedCall,
 } from './call-messages.js';
 import type { AttemptRecord, CallObserver } from './call-records.js';
-import { NO_ENDPOINT, NO_ROOM } from './call-refusals.js';
+import { NO_ENDPOINT, NO_CAPACITY } from './call-refusals.js';
 import type { EndpointConnections } from './endpoint-connections.js';
 import type { EndpointProtocol } from './endpoint-protocol.js';
 
 /** Calls' deadlines and stalls are looked at this often, in milliseconds: a fifth of the shortest slack a deadline has. Each look wakes the process, and an instance of hundreds nearly always has a call. */
 const TICK_MS = 100;
 /** Calls that wait are placed anew this often, in milliseconds: slots come free every few. */
-const WAITING_TICK_MS = 25;
+const PLACEMENT_INTERVAL_MS = 25;
 
 /** What a runner is built on. */
 export interface CallRunnerOptions {
@@ -50,7 +55,7 @@
   readonly countInstances: () => number;
   readonly quarantine: Pick<Quarantine, 'check' | 'isCondemned' | 'startWatch'>;
   /** An endpoint began the call at a moment of the monotonic clock; once for each call. */
-  readonly onBegun: (call: RoutedCall, begunMs: number) => void;
+  readonly onBegun: (call: RoutedCall, startedMs: number) => void;
   /** Why the call must not be sent now, if it must not. */
   readonly checkSendable: (call: RoutedCall) => RequestFailure | undefined;
 }
@@ -73,19 +78,19 @@
 interface Run {
   readonly call: RoutedCall;
   readonly sink: CallSink;
-  readonly life: CallLife;
-  readonly tried: string[];
+  readonly stateMachine: CallStateMachine;
+  readonly triedEndpointIds: string[];
   closeExchange: (() => void) | undefined;
   ticket: LoadTicket | undefined;
   watch: AttemptWatch | undefined;
   firstMs: number | undefined;
   /** When the attempt under way was sent. */
   sentMs: number;
-  isBegun: boolean;
+  isStarted: boolean;
 }
 
 /** Whether an endpoint may have begun the attempt that ended so. */
-function hasRun({ kind }: AttemptEnd): boolean {
+function hasPossiblyRun({ kind }: AttemptEnd): boolean {
   return kind === 'answered' || kind === 'broken';
 }
 
@@ -94,9 +99,9 @@
   const { connections, protocol, loads, placer, timers, observer } = options;
   const runs = new Set<Run>();
   /** Calls that wait here for an endpoint to be less busy. */
-  const waiting = new Map<Run, AttemptCommand>();
-  let stopTicking: Unsubscribe | undefined;
-  let stopPlacing: Unsubscribe | undefined;
+  const waitingAttempts = new Map<Run, AttemptCommand>();
+  let stopTickTimer: Unsubscribe | undefined;
+  let stopPlacementTimer: Unsubscribe | undefined;
   const getNow = (): number => timers.clock.monotonicMs();
   const budgets = createPoolBudgets(options.retryBounds, getNow());
 
@@ -109,15 +114,15 @@
     };
   }
 
-  function recordBegun(run: Run, begunMs: number): void {
-    if (run.isBegun) return;
-    run.isBegun = true;
-    options.onBegun(run.call, begunMs);
+  function recordStarted(run: Run, startedMs: number): void {
+    if (run.isStarted) return;
+    run.isStarted = true;
+    options.onBegun(run.call, startedMs);
   }
 
   /** A stream begins with its first event; anything else when it is sent, whatever becomes of its answer. */
-  function recordWholeBegun(run: Run): void {
-    if (!isStream(run.call.route.kind)) recordBegun(run, run.sentMs);
+  function recordNonStreamStarted(run: Run): void {
+    if (!isStream(run.call.route.kind)) recordStarted(run, run.sentMs);
   }
 
   function startExchange(
@@ -152,13 +157,13 @@
         ticket.recordEvent(getNow());
         watch.recordEvent();
         run.firstMs ??= getNow() - call.receivedMs;
-        recordBegun(run, getNow());
+        recordStarted(run, getNow());
         advanceRun(run, { kind: 'event', attempt, id, bytes });
       },
       onEnded(end) {
-        ticket.recordEnd(computeVerdict(end), getNow());
+        ticket.recordEnd(computeEndpointVerdict(end), getNow());
         observer.onAttemptEnded(record, end, getNow() - startedMs);
-        if (hasRun(end)) recordWholeBegun(run);
+        if (hasPossiblyRun(end)) recordNonStreamStarted(run);
         run.closeExchange = undefined;
         watch.recordEnd(end);
         advanceRun(run, { kind: 'ended', attempt, end });
@@ -198,22 +203,22 @@
       return true;
     }
     const nowMs = getNow();
-    const placement = placer.choose(call, run.tried, verdict.isAlone, nowMs);
+    const placement = placer.choose(call, run.triedEndpointIds, verdict.isAlone, nowMs);
     if (placement === undefined) {
       advanceRun(run, { kind: 'unplaced', failure: NO_ENDPOINT });
       return true;
     }
-    const isBegun = command.lastEventId !== undefined;
-    const admission = placer.chooseAdmission(call, placement, isBegun, nowMs);
+    const isResumed = command.lastEventId !== undefined;
+    const admission = placer.chooseAdmission(call, placement, isResumed, nowMs);
     switch (admission) {
       case ADMISSION.Send:
-        run.tried.push(placement.endpoint.id);
+        run.triedEndpointIds.push(placement.endpoint.id);
         startExchange(run, command.attempt, placement, command.lastEventId);
         return true;
       case ADMISSION.Wait:
         return false;
       case ADMISSION.Refuse:
-        advanceRun(run, { kind: 'unplaced', failure: NO_ROOM });
+        advanceRun(run, { kind: 'unplaced', failure: NO_CAPACITY });
         return true;
       default:
         return assertNever(admission);
@@ -222,27 +227,27 @@
 
   function startAttempt(run: Run, command: AttemptCommand): void {
     if (sendAttempt(run, command)) return;
-    waiting.set(run, command);
-    startPlacing();
+    waitingAttempts.set(run, command);
+    startPlacementTimer();
   }
 
-  function advanceWaiting(): void {
+  function advanceWaitingCalls(): void {
     const nowMs = getNow();
-    const ordered = [...waiting]
+    const ordered = [...waitingAttempts]
       .map(([run, command]) => ({ run, command, order: buildWaitingCall(run) }))
       .sort((a, b) => compareWaiting(a.order, b.order, nowMs));
     for (const { run, command } of ordered) {
-      if (sendAttempt(run, command)) waiting.delete(run);
+      if (sendAttempt(run, command)) waitingAttempts.delete(run);
     }
   }
 
   function cancelAttempt(run: Run, reason: CancelReason): void {
-    waiting.delete(run);
-    if (run.closeExchange !== undefined) recordWholeBegun(run);
+    waitingAttempts.delete(run);
+    if (run.closeExchange !== undefined) recordNonStreamStarted(run);
     run.closeExchange?.();
     run.watch?.recordCancelled();
-    const isSilent = reason === 'stalled';
-    run.ticket?.recordEnd(isSilent ? ENDPOINT_VERDICT.Failed : ENDPOINT_VERDICT.None, getNow());
+    const isStalled = reason === 'stalled';
+    run.ticket?.recordEnd(isStalled ? ENDPOINT_VERDICT.Failed : ENDPOINT_VERDICT.None, getNow());
   }
 
   function runCommand(run: Run, command: CallCommand): void {
@@ -277,17 +282,17 @@
   }
 
   function advanceRun(run: Run, message: CallMessage): void {
-    const commands = run.life.handle(message, getNow());
-    const isOver = run.life.isEnded() && runs.delete(run);
+    const commands = run.stateMachine.handle(message, getNow());
+    const isOver = run.stateMachine.isEnded() && runs.delete(run);
     // Guards against sending a held call whose caller has left: its life asks for no cancel then.
-    if (isOver) waiting.delete(run);
+    if (isOver) waitingAttempts.delete(run);
     for (const command of commands) runCommand(run, command);
     if (!isOver) return;
     const tookMs = getNow() - run.call.receivedMs;
     observer.onEnded({
       call: run.call,
       final: commands.at(-1),
-      attempts: run.life.countAttempts(),
+      attempts: run.stateMachine.countAttempts(),
       firstMs: run.firstMs ?? tookMs,
       stream: run.ticket?.getStream(),
       tookMs,
@@ -295,22 +300,22 @@
   }
 
   /** Looks for room only while calls wait for it. */
-  function startPlacing(): void {
-    stopPlacing ??= timers.subscribe(WAITING_TICK_MS, () => {
-      advanceWaiting();
-      if (waiting.size > 0) return;
-      stopPlacing?.();
-      stopPlacing = undefined;
+  function startPlacementTimer(): void {
+    stopPlacementTimer ??= timers.subscribe(PLACEMENT_INTERVAL_MS, () => {
+      advanceWaitingCalls();
+      if (waitingAttempts.size > 0) return;
+      stopPlacementTimer?.();
+      stopPlacementTimer = undefined;
     });
   }
 
   /** Ticks only while calls run: an idle instance need not wake. */
-  function startTicking(): void {
-    stopTicking ??= timers.subscribe(TICK_MS, () => {
+  function startTickTimer(): void {
+    stopTickTimer ??= timers.subscribe(TICK_MS, () => {
       for (const run of [...runs]) advanceRun(run, { kind: 'tick' });
       if (runs.size > 0) return;
-      stopTicking?.();
-      stopTicking = undefined;
+      stopTickTimer?.();
+      stopTickTimer = undefined;
     });
   }
 
@@ -318,30 +323,30 @@
     run(call, sink) {
       const budget = budgets.get(call.pool);
       budget.recordCall(getNow());
-      const life = createCallLife({
+      const stateMachine = createCallStateMachine({
         kind: call.route.kind,
         attemptsMax: call.route.attemptsMax,
         deadlineMs: call.deadlineMs,
         lastEventId: call.lastEventId,
-        stallMs: computeStallMs(call),
-        gapMs: computeGapMs(call),
+        firstResponseTimeoutMs: computeFirstResponseTimeoutMs(call),
+        streamIdleTimeoutMs: computeStreamIdleTimeoutMs(call),
         takeRetry: () =>
           !options.quarantine.isCondemned(call) && budget.take(options.countInstances(), getNow()),
       });
       const run: Run = {
         call,
         sink,
-        life,
-        tried: [],
+        stateMachine,
+        triedEndpointIds: [],
         closeExchange: undefined,
         ticket: undefined,
         watch: undefined,
         firstMs: undefined,
         sentMs: 0,
-        isBegun: false,
+        isStarted: false,
       };
       runs.add(run);
-      startTicking();
+      startTickTimer();
       advanceRun(run, { kind: 'start' });
       return { close: () => advanceRun(run, { kind: 'caller_left' }) };
     },
--- a/src/calls/call-life.test.ts
+++ b/src/calls/call-state-machine.test.ts
@@ -3,45 +3,45 @@
 import { CALL_KIND } from '../types/traffic.js';
 import type { CallKind } from '../types/traffic.js';
 import { OUTCOME } from '../types/outcomes.js';
-import { createCallLife } from './call-life.js';
-import type { CallLife } from './call-life.js';
+import { createCallStateMachine } from './call-state-machine.js';
+import type { CallStateMachine } from './call-state-machine.js';
 import type { AnswerHead, AttemptEnd, CallCommand, CallMessage } from './call-messages.js';
 
 const HEAD: AnswerHead = { status: 200, headers: [] };
 const DEADLINE_MS = 5000;
-const STALL_MS = 600;
-const GAP_MS = 800;
+const FIRST_RESPONSE_TIMEOUT_MS = 600;
+const STREAM_IDLE_TIMEOUT_MS = 800;
 
 interface Harness {
-  readonly life: CallLife;
+  readonly stateMachine: CallStateMachine;
   readonly commands: CallCommand[];
   send(message: CallMessage, nowMs?: number): CallCommand[];
 }
 
-function createHarness(kind: CallKind, attemptsMax = 2, retries = 10, isHeld = false): Harness {
-  let left = retries;
+function createHarness(kind: CallKind, attemptsMax = 2, retries = 10, isHeldBack = false): Harness {
+  let retriesLeft = retries;
   const commands: CallCommand[] = [];
-  const life = createCallLife({
+  const stateMachine = createCallStateMachine({
     kind,
     attemptsMax,
     deadlineMs: DEADLINE_MS,
     lastEventId: undefined,
-    stallMs: STALL_MS,
-    gapMs: GAP_MS,
+    firstResponseTimeoutMs: FIRST_RESPONSE_TIMEOUT_MS,
+    streamIdleTimeoutMs: STREAM_IDLE_TIMEOUT_MS,
     takeRetry() {
-      left -= 1;
-      return left >= 0;
+      retriesLeft -= 1;
+      return retriesLeft >= 0;
     },
   });
   return {
-    life,
+    stateMachine,
     commands,
     send(message, nowMs = 0) {
-      const sent = life.handle(message, nowMs);
+      const sent = stateMachine.handle(message, nowMs);
       commands.push(...sent);
       const attempt = sent.findLast((command) => command.kind === 'attempt');
-      if (attempt !== undefined && !isHeld) {
-        life.handle({ kind: 'dispatched', attempt: attempt.attempt }, nowMs);
+      if (attempt !== undefined && !isHeldBack) {
+        stateMachine.handle({ kind: 'dispatched', attempt: attempt.attempt }, nowMs);
       }
       return sent;
     },
@@ -105,8 +105,8 @@
     it('move on when their answer was lost on the way', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent);
       send({ kind: 'start' });
-      t.deepEqual(send({ kind: 'tick' }, STALL_MS - 1), []);
-      const moved = send({ kind: 'tick' }, STALL_MS);
+      t.deepEqual(send({ kind: 'tick' }, FIRST_RESPONSE_TIMEOUT_MS - 1), []);
+      const moved = send({ kind: 'tick' }, FIRST_RESPONSE_TIMEOUT_MS);
       t.deepEqual(
         moved.map(({ kind }) => kind),
         ['cancel', 'attempt'],
@@ -143,8 +143,8 @@
       send({ kind: 'start' });
       send({ kind: 'stream_started', attempt: 1, head: HEAD }, 100);
       send({ kind: 'event', attempt: 1, id: '3', bytes: Buffer.from('id: 3\n\n') }, 200);
-      t.deepEqual(send({ kind: 'tick' }, 200 + GAP_MS - 1), []);
-      const moved = send({ kind: 'tick' }, 200 + GAP_MS);
+      t.deepEqual(send({ kind: 'tick' }, 200 + STREAM_IDLE_TIMEOUT_MS - 1), []);
+      const moved = send({ kind: 'tick' }, 200 + STREAM_IDLE_TIMEOUT_MS);
       t.like(moved[0], { kind: 'cancel', reason: 'stalled' });
       t.like(moved[1], { kind: 'attempt', lastEventId: '3' });
     });
--- a/src/calls/call-life.ts
+++ b/src/calls/call-state-machine.ts
@@ -17,69 +17,69 @@
 } from './call-messages.js';
 
 /** A caller turned away because the endpoints are full comes back after this long, in milliseconds. */
-const FULL_RETRY_MS = 500;
+const OVERLOADED_RETRY_MS = 500;
 const SERVER_ERROR_MIN = 500;
 /** Connections that fail before a byte is sent are tried anew at other endpoints this often. */
-const UNSENT_MAX = 3;
+const UNSENT_ATTEMPTS_MAX = 3;
 
 /** What a call's life depends on. */
-export interface CallLifeOptions {
+export interface CallStateMachineOptions {
   readonly kind: CallKind;
   readonly attemptsMax: number;
   readonly deadlineMs: number;
   /** Last event of an earlier answer, where the caller itself resumes. */
   readonly lastEventId: string | undefined;
   /** An attempt without its first answer is given up after this long, in milliseconds, if another may follow. */
-  readonly stallMs: number;
+  readonly firstResponseTimeoutMs: number;
   /** The same for a stream that began and then fell silent. */
-  readonly gapMs: number;
+  readonly streamIdleTimeoutMs: number;
   /** Spends one second try of the shared budget. */
   readonly takeRetry: () => boolean;
 }
 
 /** The life of one call. */
-export interface CallLife {
+export interface CallStateMachine {
   handle(message: CallMessage, nowMs: number): CallCommand[];
   isEnded(): boolean;
   /** Attempts that were sent. */
   countAttempts(): number;
 }
 
-interface Answer {
+interface EndpointResponse {
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
 /** Builds the life of a call that has not started. */
-export function createCallLife(options: CallLifeOptions): CallLife {
+export function createCallStateMachine(options: CallStateMachineOptions): CallStateMachine {
   const { kind, attemptsMax, deadlineMs } = options;
   const isRepeatable = kind === CALL_KIND.Idempotent || kind === CALL_KIND.ResumableStream;
   let attempt = 0;
-  let sent = 0;
-  let unsent = 0;
+  let sentAttempts = 0;
+  let unsentAttempts = 0;
   /** An attempt was asked for and has not ended. */
-  let isWaiting = false;
+  let isAttemptPending = false;
   let isDispatched = false;
   /** When the attempt under way began, or was last heard of. */
-  let heardMs = 0;
+  let lastActivityMs = 0;
   let mayHaveRun = false;
-  let hasHead = false;
+  let isHeadDelivered = false;
   /** The attempt under way has begun to answer: nothing proves any more that it ran nothing. */
-  let hasBegun = false;
+  let hasResponseStarted = false;
   let isEnded = false;
   let { lastEventId } = options;
   /** An endpoint's own error, kept while a second endpoint is tried. */
-  let kept: Answer | undefined;
+  let endpointError: EndpointResponse | undefined;
   let commands: CallCommand[] = [];
 
-  function closeFailed(type: Failure, message: string, retryAfterMs?: number): void {
+  function closeWithFailure(type: Failure, message: string, retryAfterMs?: number): void {
     isEnded = true;
-    if (hasHead) {
+    if (isHeadDelivered) {
       commands.push({ kind: 'break_answer', reason: message });
       return;
     }
-    if (kept !== undefined) {
-      commands.push({ kind: 'deliver_answer', ...kept });
+    if (endpointError !== undefined) {
+      commands.push({ kind: 'deliver_answer', ...endpointError });
       return;
     }
     const failure: RequestFailure = {
@@ -93,62 +93,65 @@
 
   function startAttempt(nowMs: number): void {
     attempt += 1;
-    sent += 1;
-    isWaiting = true;
+    sentAttempts += 1;
+    isAttemptPending = true;
     isDispatched = false;
-    hasBegun = false;
-    heardMs = nowMs;
+    hasResponseStarted = false;
+    lastActivityMs = nowMs;
     commands.push({ kind: 'attempt', attempt, lastEventId });
   }
 
   /** Ends a call that no endpoint answered and that may not be sent again. */
   function closeUnanswered(message: string): void {
-    if (mayHaveRun) closeFailed(FAILURE.EndpointFailed, message);
-    else closeFailed(FAILURE.Overloaded, message, FULL_RETRY_MS);
+    if (mayHaveRun) closeWithFailure(FAILURE.EndpointFailed, message);
+    else closeWithFailure(FAILURE.Overloaded, message, OVERLOADED_RETRY_MS);
   }
 
   /** Sends the call to another endpoint if that is allowed, else ends it. */
-  function handleLost(isProvedUnrun: boolean, message: string, nowMs: number): void {
-    const isAllowed = (isProvedUnrun || isRepeatable) && sent < attemptsMax;
+  function handleFailedAttempt(isKnownNotRun: boolean, message: string, nowMs: number): void {
+    const isAllowed = (isKnownNotRun || isRepeatable) && sentAttempts < attemptsMax;
     if (isAllowed && options.takeRetry()) startAttempt(nowMs);
     else closeUnanswered(message);
   }
 
   function handleUnsent(nowMs: number): void {
-    sent -= 1;
-    unsent += 1;
-    if (unsent > UNSENT_MAX) closeUnanswered('no endpoint could be reached; come back later');
+    sentAttempts -= 1;
+    unsentAttempts += 1;
+    if (unsentAttempts > UNSENT_ATTEMPTS_MAX)
+      closeUnanswered('no endpoint could be reached; come back later');
     else startAttempt(nowMs);
   }
 
-  function handleAnswered(answer: Answer, nowMs: number): void {
+  function handleResponse(response: EndpointResponse, nowMs: number): void {
     mayHaveRun = true;
-    const isError = answer.head.status >= SERVER_ERROR_MIN;
-    if (hasHead) {
+    const isError = response.head.status >= SERVER_ERROR_MIN;
+    if (isHeadDelivered) {
       // A continuation was refused; the first answer stays without its end.
-      closeFailed(FAILURE.EndpointFailed, 'the endpoint refused to continue the answer');
+      closeWithFailure(FAILURE.EndpointFailed, 'the endpoint refused to continue the answer');
       return;
     }
-    if (isError && isRepeatable && sent < attemptsMax && options.takeRetry()) {
-      kept = answer;
+    if (isError && isRepeatable && sentAttempts < attemptsMax && options.takeRetry()) {
+      endpointError = response;
       startAttempt(nowMs);
       return;
     }
     isEnded = true;
-    commands.push({ kind: 'deliver_answer', ...answer });
+    commands.push({ kind: 'deliver_answer', ...response });
   }
 
-  function handleEnd(reported: AttemptEnd, nowMs: number): void {
-    const isProof = reported.kind === 'unsent' || reported.kind === 'rejected';
+  function handleAttemptEnd(reported: AttemptEnd, nowMs: number): void {
+    const isReportedNotRun = reported.kind === 'unsent' || reported.kind === 'rejected';
     const end: AttemptEnd =
-      hasBegun && isProof ? { kind: 'broken', reason: `${reported.kind} after a head` } : reported;
-    isWaiting = false;
+      hasResponseStarted && isReportedNotRun
+        ? { kind: 'broken', reason: `${reported.kind} after a head` }
+        : reported;
+    isAttemptPending = false;
     switch (end.kind) {
       case 'unsent':
         handleUnsent(nowMs);
         break;
       case 'rejected':
-        handleLost(
+        handleFailedAttempt(
           true,
           end.isWrongEndpoint
             ? 'the endpoint is gone; come back after the time given'
@@ -158,10 +161,10 @@
         break;
       case 'broken':
         mayHaveRun = true;
-        handleLost(false, 'the endpoint failed before its answer was whole', nowMs);
+        handleFailedAttempt(false, 'the endpoint failed before its answer was whole', nowMs);
         break;
       case 'answered':
-        handleAnswered({ head: end.head, body: end.body }, nowMs);
+        handleResponse({ head: end.head, body: end.body }, nowMs);
         break;
       case 'stream_ended':
         isEnded = true;
@@ -172,29 +175,32 @@
     }
   }
 
-  function handleStreamStarted(head: AnswerHead): void {
+  function handleStreamStart(head: AnswerHead): void {
     mayHaveRun = true;
-    hasBegun = true;
+    hasResponseStarted = true;
     // Later endpoints continue the answer under the head of the first.
-    if (hasHead) return;
-    hasHead = true;
+    if (isHeadDelivered) return;
+    isHeadDelivered = true;
     commands.push({ kind: 'deliver_head', head });
   }
 
   function cancelAttempt(reason: CancelReason): void {
-    if (!isWaiting) return;
-    isWaiting = false;
+    if (!isAttemptPending) return;
+    isAttemptPending = false;
     commands.push({ kind: 'cancel', attempt, reason });
   }
 
   function handleDeadline(): void {
     // What is under way may have run, or may yet run until its endpoint hears of the end.
-    if (isWaiting && isDispatched) mayHaveRun = true;
+    if (isAttemptPending && isDispatched) mayHaveRun = true;
     cancelAttempt('deadline');
     if (mayHaveRun) {
-      closeFailed(FAILURE.DeadlinePassed, 'the time allowed passed before the answer was whole');
+      closeWithFailure(
+        FAILURE.DeadlinePassed,
+        'the time allowed passed before the answer was whole',
+      );
     } else {
-      closeFailed(FAILURE.Overloaded, 'no endpoint was free in time', FULL_RETRY_MS);
+      closeWithFailure(FAILURE.Overloaded, 'no endpoint was free in time', OVERLOADED_RETRY_MS);
     }
   }
 
@@ -203,16 +209,18 @@
    * silence after the call was sent, or in the middle of a stream.
    */
   function checkStall(nowMs: number): void {
-    const boundMs = hasBegun ? options.gapMs : options.stallMs;
-    const isStalled = isWaiting && isDispatched && nowMs - heardMs >= boundMs;
-    if (!isStalled || !isRepeatable || sent >= attemptsMax) return;
+    const timeoutMs = hasResponseStarted
+      ? options.streamIdleTimeoutMs
+      : options.firstResponseTimeoutMs;
+    const isStalled = isAttemptPending && isDispatched && nowMs - lastActivityMs >= timeoutMs;
+    if (!isStalled || !isRepeatable || sentAttempts >= attemptsMax) return;
     if (!options.takeRetry()) return;
     mayHaveRun = true;
     cancelAttempt('stalled');
     startAttempt(nowMs);
   }
 
-  function handleCallerLeft(): void {
+  function handleCallerDisconnect(): void {
     isEnded = true;
     // What may not be repeated is seen through: stopping it halfway helps nobody.
     if (kind === CALL_KIND.NonIdempotent) return;
@@ -220,7 +228,7 @@
   }
 
   function isCurrent(message: CallMessage): boolean {
-    return !('attempt' in message) || (isWaiting && message.attempt === attempt);
+    return !('attempt' in message) || (isAttemptPending && message.attempt === attempt);
   }
 
   function applyMessage(message: CallMessage, nowMs: number): void {
@@ -229,9 +237,9 @@
         startAttempt(nowMs);
         break;
       case 'unplaced':
-        isWaiting = false;
-        sent -= 1;
-        closeFailed(
+        isAttemptPending = false;
+        sentAttempts -= 1;
+        closeWithFailure(
           mayHaveRun ? FAILURE.EndpointFailed : message.failure.type,
           message.failure.message,
           message.failure.retryAfterMs,
@@ -239,22 +247,22 @@
         break;
       case 'dispatched':
         isDispatched = true;
-        heardMs = nowMs;
+        lastActivityMs = nowMs;
         break;
       case 'stream_started':
-        heardMs = nowMs;
-        handleStreamStarted(message.head);
+        lastActivityMs = nowMs;
+        handleStreamStart(message.head);
         break;
       case 'event':
-        heardMs = nowMs;
+        lastActivityMs = nowMs;
         if (message.id !== undefined) lastEventId = message.id;
         commands.push({ kind: 'deliver_event', bytes: message.bytes });
         break;
       case 'ended':
-        handleEnd(message.end, nowMs);
+        handleAttemptEnd(message.end, nowMs);
         break;
       case 'caller_left':
-        handleCallerLeft();
+        handleCallerDisconnect();
         break;
       case 'tick':
         if (nowMs >= deadlineMs) handleDeadline();
@@ -272,6 +280,6 @@
       return commands;
     },
     isEnded: () => isEnded,
-    countAttempts: () => sent,
+    countAttempts: () => sentAttempts,
   };
 }
--- a/src/calls/content-id.ts
+++ b/src/calls/content-id.ts
@@ -22,7 +22,7 @@
 const ID_DIGITS = 16;
 
 /** Names a content when somebody first asks for it: most calls are over before anybody does. */
-export function createContentId(content: CallContent): () => ContentId {
+export function createContentIdGetter(content: CallContent): () => ContentId {
   let id: ContentId | undefined;
   return () => {
     id ??= hashContent(content);
--- a/src/calls/endpoint-connections.test.ts
+++ b/src/calls/endpoint-connections.test.ts
@@ -2,9 +2,9 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { describe } from '../test/describe.js';
 import { createEndpointConnections } from './endpoint-connections.js';
-import type { EndpointConnections, EndpointExchange } from './endpoint-connections.js';
+import type { EndpointConnections, EndpointRequest } from './endpoint-connections.js';
 
-const EXCHANGE: EndpointExchange = {
+const REQUEST: EndpointRequest = {
   method: 'POST',
   target: '/x',
   headers: [{ name: 'host', value: 'h.example' }],
@@ -38,7 +38,7 @@
 function runExchange(connections: EndpointConnections, address: string): Promise<Outcome> {
   return new Promise((resolve) => {
     let body = '';
-    connections.open(address, 8, EXCHANGE, {
+    connections.open(address, 8, REQUEST, {
       onHead: () => true,
       onData(bytes) {
         body += bytes.toString();
--- a/src/calls/endpoint-connections.ts
+++ b/src/calls/endpoint-connections.ts
@@ -9,13 +9,13 @@
 /** A connection that is not made within this time counts as not made, in milliseconds: a hundred times a round trip between data centres. A lost opening packet is sent again after a second; another endpoint has answered by then. */
 const CONNECT_TIMEOUT_MS = 300;
 /** How long an idle connection is kept where the endpoint names no time, in milliseconds. */
-const IDLE_UNSTATED_MS = 1500;
+const DEFAULT_KEEP_ALIVE_MS = 1500;
 /** An idle connection is given up this long before the endpoint would close it, in milliseconds: a call on its way must not meet the close. */
-const IDLE_MARGIN_MS = 1000;
-const INFORMATIONAL_MAX = 199;
+const KEEP_ALIVE_MARGIN_MS = 1000;
+const INFORMATIONAL_STATUS_MAX = 199;
 
 /** One exchange with an endpoint. */
-export interface EndpointExchange {
+export interface EndpointRequest {
   readonly method: string;
   readonly target: string;
   readonly headers: readonly HeaderField[];
@@ -37,7 +37,7 @@
   open(
     address: string,
     connectionsMax: number,
-    exchange: EndpointExchange,
+    request: EndpointRequest,
     listener: ExchangeListener,
   ): () => void;
   /** Closes every connection to an address; exchanges under way there break off. */
@@ -50,7 +50,7 @@
 interface Connection {
   readonly client: Client;
   readonly address: string;
-  isMade: boolean;
+  wasConnected: boolean;
   isBusy: boolean;
   /** The endpoint reset the connection, or it failed otherwise than by an orderly end. */
   wasReset: boolean;
@@ -68,14 +68,14 @@
 
 /** Builds connections; none is made before it is needed. */
 export function createEndpointConnections(): EndpointConnections {
-  const connectionsOf = new Map<string, Set<Connection>>();
+  const connectionsByAddress = new Map<string, Set<Connection>>();
   const connector = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
-  let made = 0;
+  let openedCount = 0;
 
   function removeConnection(connection: Connection): void {
-    const connections = connectionsOf.get(connection.address);
+    const connections = connectionsByAddress.get(connection.address);
     connections?.delete(connection);
-    if (connections?.size === 0) connectionsOf.delete(connection.address);
+    if (connections?.size === 0) connectionsByAddress.delete(connection.address);
     connection.client.destroy().catch(() => undefined);
   }
 
@@ -86,8 +86,8 @@
         // Silence is judged by the call's life, not by a fixed time here.
         headersTimeout: 0,
         bodyTimeout: 0,
-        keepAliveTimeout: IDLE_UNSTATED_MS,
-        keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+        keepAliveTimeout: DEFAULT_KEEP_ALIVE_MS,
+        keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
         connect: (options, callback) => {
           connector(options, (error, socket) => {
             // Guards against taking a reset for the end of an answer without a length. It shows as a
@@ -106,105 +106,105 @@
         },
       }),
       address,
-      isMade: false,
+      wasConnected: false,
       isBusy: false,
       wasReset: false,
     };
     connection.client.on('connect', () => {
-      connection.isMade = true;
-      made += 1;
+      connection.wasConnected = true;
+      openedCount += 1;
     });
     connection.client.on('disconnect', () => removeConnection(connection));
-    const connections = connectionsOf.get(address) ?? new Set();
+    const connections = connectionsByAddress.get(address) ?? new Set();
     connections.add(connection);
-    connectionsOf.set(address, connections);
+    connectionsByAddress.set(address, connections);
     return connection;
   }
 
   /** The connection used last, so that the others run into their idle time. */
-  function findIdle(address: string): Connection | undefined {
-    return [...(connectionsOf.get(address) ?? [])].findLast(({ isBusy }) => !isBusy);
+  function findIdleConnection(address: string): Connection | undefined {
+    return [...(connectionsByAddress.get(address) ?? [])].findLast(({ isBusy }) => !isBusy);
   }
 
   function takeConnection(address: string, connectionsMax: number): Connection | undefined {
-    const idle = findIdle(address);
+    const idle = findIdleConnection(address);
     if (idle !== undefined) return idle;
-    if ((connectionsOf.get(address)?.size ?? 0) >= connectionsMax) return undefined;
+    if ((connectionsByAddress.get(address)?.size ?? 0) >= connectionsMax) return undefined;
     return createConnection(address);
   }
 
   function runExchange(
     connection: Connection,
-    exchange: EndpointExchange,
+    request: EndpointRequest,
     listener: ExchangeListener,
   ): () => void {
-    let controllerOf: Dispatcher.DispatchController | undefined;
-    let isOver = false;
+    let requestController: Dispatcher.DispatchController | undefined;
+    let isFinished = false;
     connection.isBusy = true;
 
     function close(): void {
-      isOver = true;
-      controllerOf?.abort(new Error('the exchange is of no more use'));
+      isFinished = true;
+      requestController?.abort(new Error('the exchange is of no more use'));
       removeConnection(connection);
     }
 
     connection.client.dispatch(
       {
-        method: exchange.method,
-        path: exchange.target,
-        headers: exchange.headers.flatMap(({ name, value }) => [name, value]),
-        body: exchange.body.length === 0 ? null : exchange.body,
+        method: request.method,
+        path: request.target,
+        headers: request.headers.flatMap(({ name, value }) => [name, value]),
+        body: request.body.length === 0 ? null : request.body,
       },
       {
         onRequestStart(controller) {
-          controllerOf = controller;
-          if (isOver) controller.abort(new Error('the exchange is of no more use'));
+          requestController = controller;
+          if (isFinished) controller.abort(new Error('the exchange is of no more use'));
         },
         onResponseStart(controller, status) {
-          if (isOver || status <= INFORMATIONAL_MAX) return;
+          if (isFinished || status <= INFORMATIONAL_STATUS_MAX) return;
           if (!listener.onHead(status, parseRawHeaders(controller.rawHeaders))) close();
         },
         onResponseData(_, bytes) {
-          if (isOver) return;
+          if (isFinished) return;
           if (!listener.onData(bytes)) close();
         },
         onResponseEnd() {
-          if (isOver) return;
-          isOver = true;
+          if (isFinished) return;
+          isFinished = true;
           connection.isBusy = false;
           if (connection.wasReset) listener.onError(true, 'the endpoint reset the connection');
           else listener.onEnd();
         },
         onResponseError(_, error) {
-          if (isOver) return;
-          isOver = true;
-          const { isMade } = connection;
+          if (isFinished) return;
+          isFinished = true;
+          const { wasConnected } = connection;
           removeConnection(connection);
-          listener.onError(isMade, error.message);
+          listener.onError(wasConnected, error.message);
         },
       },
     );
     return () => {
-      if (!isOver) close();
+      if (!isFinished) close();
     };
   }
 
   return {
-    open(address, connectionsMax, exchange, listener) {
+    open(address, connectionsMax, request, listener) {
       const connection = takeConnection(address, connectionsMax);
-      if (connection !== undefined) return runExchange(connection, exchange, listener);
+      if (connection !== undefined) return runExchange(connection, request, listener);
       queueMicrotask(() => listener.onError(false, `all ${connectionsMax} connections are in use`));
       return () => undefined;
     },
     closeAll(address) {
-      for (const connection of [...(connectionsOf.get(address) ?? [])]) {
+      for (const connection of [...(connectionsByAddress.get(address) ?? [])]) {
         removeConnection(connection);
       }
     },
-    countMade: () => made,
+    countMade: () => openedCount,
     async close() {
-      const all = [...connectionsOf.values()].flatMap((connections) => [...connections]);
-      connectionsOf.clear();
+      const all = [...connectionsByAddress.values()].flatMap((connections) => [...connections]);
+      connectionsByAddress.clear();
       await Promise.all(all.map(({ client }) => client.destroy()));
     },
   };
--- a/src/calls/endpoint-protocol.ts
+++ b/src/calls/endpoint-protocol.ts
@@ -1,11 +1,11 @@
 /** How endpoints are spoken to; a deployment's interface brings its own. */
 import type { DecodedHead } from './attempt-reader.js';
 import type { HeaderField, RoutedCall } from './call-messages.js';
-import type { EndpointExchange } from './endpoint-connections.js';
+import type { EndpointRequest } from './endpoint-connections.js';
 
 /** Headers and bodies of exchanges with endpoints. */
 export interface EndpointProtocol {
-  encode(call: RoutedCall, attempt: EncodedAttempt): EndpointExchange;
+  encode(call: RoutedCall, attempt: EncodedAttempt): EndpointRequest;
   decode(status: number, headers: readonly HeaderField[]): DecodedHead;
 }
 
--- a/src/calls/event-splitter.test.ts
+++ b/src/calls/event-splitter.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
-import { CALL_EVENT_BYTES_MAX } from './call-limits.js';
+import { EVENT_BYTES_MAX } from './response-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 
 describe('event splitter', ({ it }) => {
@@ -20,7 +20,7 @@
         const joined = Buffer.concat(events.map(({ bytes }) => bytes));
         return (
           joined.equals(stream) &&
-          !splitter.hasRest() &&
+          !splitter.hasPartialEvent() &&
           events.map(({ id }) => id).join() === '1,2,3'
         );
       }),
@@ -31,11 +31,11 @@
   it('keeps an unfinished event to itself', (t) => {
     const splitter = createEventSplitter();
     t.is(splitter.add(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.length, 1);
-    t.true(splitter.hasRest());
+    t.true(splitter.hasPartialEvent());
   });
 
   it('gives up an event without an end', (t) => {
     const splitter = createEventSplitter();
-    t.is(splitter.add(Buffer.alloc(CALL_EVENT_BYTES_MAX + 1, 'x')), undefined);
+    t.is(splitter.add(Buffer.alloc(EVENT_BYTES_MAX + 1, 'x')), undefined);
   });
 });
--- a/src/calls/event-splitter.ts
+++ b/src/calls/event-splitter.ts
@@ -3,7 +3,7 @@
  * out: what an endpoint left unfinished is dropped, or a continuation would be joined to half an
  * event.
  */
-import { CALL_EVENT_BYTES_MAX } from './call-limits.js';
+import { EVENT_BYTES_MAX } from './response-limits.js';
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
@@ -20,7 +20,7 @@
   /** Events completed by these bytes; undefined where an event grew beyond all bounds. */
   add(bytes: Buffer): StreamEvent[] | undefined;
   /** Whether bytes of an unfinished event are left. */
-  hasRest(): boolean;
+  hasPartialEvent(): boolean;
 }
 
 /** The position behind the blank line that closes the event, or -1. */
@@ -36,10 +36,10 @@
 
 /** Builds a splitter at the beginning of a stream. */
 export function createEventSplitter(): EventSplitter {
-  let rest: Buffer = Buffer.alloc(0);
+  let partialEvent: Buffer = Buffer.alloc(0);
   return {
     add(bytes) {
-      const buffer = rest.length === 0 ? bytes : Buffer.concat([rest, bytes]);
+      const buffer = partialEvent.length === 0 ? bytes : Buffer.concat([partialEvent, bytes]);
       const events: StreamEvent[] = [];
       let start = 0;
       let end = findEventEnd(buffer, start);
@@ -49,9 +49,9 @@
         start = end;
         end = findEventEnd(buffer, start);
       }
-      rest = buffer.subarray(start);
-      return rest.length > CALL_EVENT_BYTES_MAX ? undefined : events;
+      partialEvent = buffer.subarray(start);
+      return partialEvent.length > EVENT_BYTES_MAX ? undefined : events;
     },
-    hasRest: () => rest.length > 0,
+    hasPartialEvent: () => partialEvent.length > 0,
   };
 }
--- a/src/calls/call-limits.ts
+++ b/src/calls/response-limits.ts
@@ -1,6 +1,6 @@
 /** Sizes beyond which what an endpoint sends is no answer but a fault. */
 
 /** Bytes of one event: the largest that are declared are under a kilobyte. */
-export const CALL_EVENT_BYTES_MAX = 256 * 1024;
+export const EVENT_BYTES_MAX = 256 * 1024;
 /** Bytes of an answer that is no stream: four times the largest body a caller may send. */
-export const CALL_ANSWER_BYTES_MAX = 16 * 1024 * 1024;
+export const RESPONSE_BYTES_MAX = 16 * 1024 * 1024;
--- a/src/calls/undisturbed-streams.test.ts
+++ b/src/calls/streams-beside-prompts.test.ts
@@ -12,9 +12,9 @@
   sharedParts: 10 * ENGINES,
 });
 /** Part of the calls of each route that must be in time: the engines have room for all of them. */
-const IN_TIME_MIN = 0.9;
+const IN_TIME_FRACTION_MIN = 0.9;
 
-function computeInTime(calls: readonly PlayedCall[], name: string): number {
+function computeInTimeFraction(calls: readonly PlayedCall[], name: string): number {
   const ofRoute = calls.filter(({ route }) => route === name);
   return ofRoute.filter(({ isInTime }) => isInTime).length / ofRoute.length;
 }
@@ -35,8 +35,8 @@
       lengthMs: 6000,
     });
     for (const { route } of ROUTES) {
-      const inTime = computeInTime(calls, route.name);
-      t.true(inTime >= IN_TIME_MIN, `${route.name}: ${inTime.toFixed(2)} in time`);
+      const inTime = computeInTimeFraction(calls, route.name);
+      t.true(inTime >= IN_TIME_FRACTION_MIN, `${route.name}: ${inTime.toFixed(2)} in time`);
       t.log(`${route.name}: ${inTime.toFixed(3)} in time`);
     }
   });
--- a/src/calls/urgent-streams.test.ts
+++ b/src/calls/streams-in-overload.test.ts
@@ -50,7 +50,7 @@
 const WINDOW_MS = 5000;
 
 /** The largest part of lookups of any five seconds that got no whole answer. */
-function computeWorstLoss(calls: readonly PlayedCall[], lengthMs: number): number {
+function computeMaxLossFraction(calls: readonly PlayedCall[], lengthMs: number): number {
   let worst = 0;
   for (let fromMs = 0; fromMs + WINDOW_MS <= lengthMs; fromMs += 1000) {
     const window = calls.filter(
@@ -76,7 +76,7 @@
 
 const SEEDS = [1, 2, 3];
 /** Part of the urgent calls of five seconds that may get nothing while less urgent ones begin. */
-const LOSS_MAX = 1 / 12;
+const LOSS_FRACTION_MAX = 1 / 12;
 
 /** Plays every seed and checks that no five seconds lost too many lookups. */
 async function checkLookups(
@@ -85,9 +85,9 @@
 ): Promise<void> {
   const plays = await Promise.all(SEEDS.map((seed) => runPlay({ ...options, seed })));
   plays.forEach((calls, index) => {
-    const loss = computeWorstLoss(calls, options.lengthMs);
+    const loss = computeMaxLossFraction(calls, options.lengthMs);
     t.true(
-      loss <= LOSS_MAX,
+      loss <= LOSS_FRACTION_MAX,
       `seed ${SEEDS[index]}: ${loss.toFixed(2)} of 5 s; ${describeEnds(calls)}`,
     );
   });
--- a/src/gateway/admit-call.ts
+++ b/src/gateway/admit-call.ts
@@ -1,5 +1,5 @@
 /** Checks what a caller asks for against the configuration in hand, and makes a routed call of it. */
-import { createContentId } from '../calls/content-id.js';
+import { createContentIdGetter } from '../calls/content-id.js';
 import type { CallPayload, PromptShape, RoutedCall } from '../calls/call-messages.js';
 import { choosePool } from '../routes/route-table.js';
 import type { RouteTable } from '../routes/route-table.js';
@@ -29,7 +29,7 @@
 }
 
 /** What is known when a call comes in. */
-export interface AdmissionKnowledge {
+export interface AdmissionContext {
   readonly table: RouteTable | undefined;
   /** Whether the table is surely recent enough to say that something does not exist. */
   readonly isRecent: boolean;
@@ -37,61 +37,81 @@
   readonly areKeysValid: boolean;
 }
 
-function createNotRun(type: Failure, message: string, retryAfterMs?: number): RequestFailure {
+function createNotRunFailure(
+  type: Failure,
+  message: string,
+  retryAfterMs?: number,
+): RequestFailure {
   const retry = retryAfterMs === undefined ? {} : { retryAfterMs };
   return { type, message, outcome: OUTCOME.NotRun, ...retry };
 }
 
 /** The refusal of an instance whose knowledge is missing or too old for this call. */
-export function createNotReady(message: string): RequestFailure {
-  return createNotRun(FAILURE.NotReady, message, NOT_READY_RETRY_MS);
+export function createNotReadyFailure(message: string): RequestFailure {
+  return createNotRunFailure(FAILURE.NotReady, message, NOT_READY_RETRY_MS);
 }
 
 /** The refusal of an instance that could not finish the call before it ends. */
-export function createLeaving(): RequestFailure {
-  return createNotRun(FAILURE.NotReady, 'this instance is leaving; try another', LEAVING_RETRY_MS);
+export function createLeavingFailure(): RequestFailure {
+  return createNotRunFailure(
+    FAILURE.NotReady,
+    'this instance is leaving; try another',
+    LEAVING_RETRY_MS,
+  );
 }
 
 /** Makes a call of a request, or says why not. */
 export function resolveCall(
   request: CallerRequest,
-  knowledge: AdmissionKnowledge,
+  context: AdmissionContext,
 ): Result<RoutedCall, RequestFailure> {
-  const { table } = knowledge;
+  const { table } = context;
   if (table === undefined) {
-    return Err(createNotReady('this instance has no configuration yet; come back or try another'));
+    return Err(
+      createNotReadyFailure('this instance has no configuration yet; come back or try another'),
+    );
   }
   const { callId } = request;
   if (callId === undefined || callId === '') {
-    return Err(createNotRun(FAILURE.BadRequest, 'the request bears no id; send one'));
+    return Err(createNotRunFailure(FAILURE.BadRequest, 'the request bears no id; send one'));
   }
   const route = table.findRoute(request.host, request.path);
   if (route === undefined) {
     // A route that is missing in old knowledge may have been added since.
-    if (!knowledge.isRecent) {
-      return Err(createNotReady('this instance cannot tell whether the route exists; try another'));
+    if (!context.isRecent) {
+      return Err(
+        createNotReadyFailure('this instance cannot tell whether the route exists; try another'),
+      );
     }
-    return Err(createNotRun(FAILURE.UnknownPath, 'no route has this host and path; correct them'));
+    return Err(
+      createNotRunFailure(FAILURE.UnknownPath, 'no route has this host and path; correct them'),
+    );
   }
-  const isKeyed = table.hasOrganisations && !route.isPublic;
+  const requiresKey = table.hasOrganisations && !route.isPublic;
   const organisation =
-    request.key === undefined || !isKeyed ? undefined : table.findOrganisation(request.key);
-  if (isKeyed && !knowledge.areKeysValid) {
-    return Err(createNotReady('this instance cannot tell whether the key is valid; try another'));
+    request.key === undefined || !requiresKey ? undefined : table.findOrganisation(request.key);
+  if (requiresKey && !context.areKeysValid) {
+    return Err(
+      createNotReadyFailure('this instance cannot tell whether the key is valid; try another'),
+    );
   }
-  if (isKeyed && organisation === undefined) {
-    if (!knowledge.isRecent) {
-      return Err(createNotReady('this instance cannot tell whether the key exists; try another'));
+  if (requiresKey && organisation === undefined) {
+    if (!context.isRecent) {
+      return Err(
+        createNotReadyFailure('this instance cannot tell whether the key exists; try another'),
+      );
     }
-    return Err(createNotRun(FAILURE.Unauthenticated, 'the key is missing or unknown; send one'));
+    return Err(
+      createNotRunFailure(FAILURE.Unauthenticated, 'the key is missing or unknown; send one'),
+    );
   }
   const pool = choosePool(route, callId);
   if (pool === undefined) {
-    return Err(createNotReady('the route has no pool yet; come back'));
+    return Err(createNotReadyFailure('the route has no pool yet; come back'));
   }
-  const waitsMs = Math.min(request.waitsMs ?? route.timeoutMs, route.timeoutMs);
+  const timeoutMs = Math.min(request.waitsMs ?? route.timeoutMs, route.timeoutMs);
   const { method, target, body } = request.payload;
-  const getContentId = createContentId({
+  const getContentId = createContentIdGetter({
     method,
     host: request.host,
     target,
@@ -106,12 +126,12 @@
     route,
     pool,
     organisation: organisation?.name,
-    isKeyed,
+    isKeyed: requiresKey,
     urgency: table.computeUrgency(route, organisation),
     prompt: request.prompt,
     payload: request.payload,
     lastEventId: request.lastEventId,
     receivedMs: request.receivedMs,
-    deadlineMs: request.receivedMs + waitsMs,
+    deadlineMs: request.receivedMs + timeoutMs,
   });
 }
--- a/src/gateway/call-quarantine.ts
+++ b/src/gateway/call-quarantine.ts
@@ -42,11 +42,11 @@
   });
 
   /** Only who found out writes: all others learn of it within the second. */
-  function recordOwn({ subject, before, standing }: CaseChange): void {
-    if (standing === before) return;
-    if (standing === STANDING.Condemned) rows.add(subject, CASE_STATE.Condemned, '', '');
-    else if (before === STANDING.Condemned) {
-      rows.add(subject, CASE_STATE.Released, '', 'it ran to a whole answer');
+  function storeOwnStanding({ subject: crashCase, before: previous, standing }: CaseChange): void {
+    if (standing === previous) return;
+    if (standing === STANDING.Condemned) rows.add(crashCase, CASE_STATE.Condemned, '', '');
+    else if (previous === STANDING.Condemned) {
+      rows.add(crashCase, CASE_STATE.Released, '', 'it ran to a whole answer');
     }
   }
 
@@ -59,7 +59,7 @@
       ...observer,
       onChanged(change, source) {
         observer.onChanged(change, source);
-        if (source === 'own') recordOwn(change);
+        if (source === 'own') storeOwnStanding(change);
       },
     },
   });
@@ -69,9 +69,9 @@
     setReading: (isReading) => rows.setReading(isReading),
     listCases: () => quarantine.list(),
     releaseCase(content, who, reason) {
-      const subject = quarantine.list().find((other) => other.content === content);
-      if (subject === undefined) return false;
-      rows.add(subject, CASE_STATE.Released, who, reason);
+      const crashCase = quarantine.list().find((other) => other.content === content);
+      if (crashCase === undefined) return false;
+      rows.add(crashCase, CASE_STATE.Released, who, reason);
       log.write({ event: 'content_released', content, who, reason });
       return quarantine.release(content);
     },
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -44,7 +44,10 @@
   readonly time: TrueTime;
   readonly loads: EndpointLoads;
   readonly directory: Pick<EndpointDirectory, 'listAll'>;
-  readonly peers: Pick<PeerExchange, 'isKeeper' | 'listKeepers' | 'sendUsage' | 'countInstances'>;
+  readonly peers: Pick<
+    PeerExchange,
+    'isDutyCandidate' | 'listDutyCandidates' | 'sendUsage' | 'countInstances'
+  >;
   readonly getConfiguration: () => TrafficConfiguration | undefined;
   readonly getKnowledgeAge: () => number;
   readonly isLeaving: () => boolean;
@@ -53,8 +56,8 @@
 /** A gateway's part. */
 export interface GatewayDuties extends FleetDuties {
   /** An endpoint began a call. */
-  recordBegun(call: RoutedCall, begunMs: number): void;
-  handleUsage(telling: UsageTelling): void;
+  recordStarted(call: RoutedCall, startedMs: number): void;
+  handleUsage(usage: UsageTelling): void;
 }
 
 /** The same feed; every answer tells what the source's clock shows. */
@@ -99,16 +102,23 @@
 
   /** How long a prompt would wait for those before it, if all engines had the same to read. */
   function computeBacklogMs(pool: string): number {
-    const open = directory.listAll().filter((each) => each.pool === pool && !each.isLeaving);
+    const openEndpoints = directory
+      .listAll()
+      .filter((endpoint) => endpoint.pool === pool && !endpoint.isLeaving);
     const msPerToken = loads.getPoolPace(pool).reading?.msPerToken ?? 0;
-    const unread = open.reduce((sum, { startId }) => sum + loads.get(startId).unreadTokens, 0);
-    return open.length === 0 ? 0 : (unread * msPerToken) / open.length;
+    const unread = openEndpoints.reduce(
+      (sum, { startId }) => sum + loads.get(startId).unreadTokens,
+      0,
+    );
+    return openEndpoints.length === 0 ? 0 : (unread * msPerToken) / openEndpoints.length;
   }
 
   function computeTargetMs(pool: string): number {
     const routes = options.getConfiguration()?.routes ?? [];
-    const own = routes.filter(({ pools }) => pools.some((each) => each.pool === pool));
-    return Math.min(...own.map(({ targetMs }) => targetMs));
+    const poolRoutes = routes.filter(({ pools }) =>
+      pools.some((weighted) => weighted.pool === pool),
+    );
+    return Math.min(...poolRoutes.map(({ targetMs }) => targetMs));
   }
 
   function buildSizedPool({ name, scaling }: TrafficPool): SizedPool[] {
@@ -124,7 +134,7 @@
     ];
   }
 
-  const fleet = createFleetDuties({
+  const fleetDuties = createFleetDuties({
     self: options.self,
     timers,
     random: options.random,
@@ -137,36 +147,36 @@
     isFirstStart: duties.isFirstStart,
     usage: duties.usage,
     ordersPools: duties.ordersPools,
-    isCandidate: () => peers.isKeeper(),
+    isCandidate: () => peers.isDutyCandidate(),
     isLeaving: options.isLeaving,
     listPools: () => (options.getConfiguration()?.pools ?? []).flatMap(buildSizedPool),
     getKnowledgeAge: options.getKnowledgeAge,
   });
 
-  let keepers: ReadonlySet<string> = new Set();
+  let knownCandidates: ReadonlySet<string> = new Set();
 
   /** Tells who keeps counts from now on what the others were told before. */
-  function updateKeepers(): void {
-    const names = peers.listKeepers();
-    if (names.some((name) => !keepers.has(name))) meter.addKeeper();
-    keepers = new Set(names);
+  function updateCandidates(): void {
+    const names = peers.listDutyCandidates();
+    if (names.some((name) => !knownCandidates.has(name))) meter.addKeeper();
+    knownCandidates = new Set(names);
   }
 
   timers.subscribe(TICK_MS, () => {
-    updateKeepers();
-    const telling = meter.advance(getNow());
-    if (telling === undefined) return;
-    peers.sendUsage(telling);
-    if (peers.isKeeper()) meter.merge(telling, getNow());
+    updateCandidates();
+    const usage = meter.advance(getNow());
+    if (usage === undefined) return;
+    peers.sendUsage(usage);
+    if (peers.isDutyCandidate()) meter.merge(usage, getNow());
   });
 
   return {
-    ...fleet,
-    recordBegun({ organisation }, begunMs) {
+    ...fleetDuties,
+    recordStarted({ organisation }, startedMs) {
       if (organisation !== undefined && duties.usage !== undefined) {
-        meter.record(organisation, begunMs);
+        meter.record(organisation, startedMs);
       }
     },
-    handleUsage: (telling) => meter.merge(telling, getNow()),
+    handleUsage: (usage) => meter.merge(usage, getNow()),
   };
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -43,22 +43,22 @@
 import type { Random } from '../utils/random.js';
 import { Err } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
-import { createLeaving, createNotReady, resolveCall } from './admit-call.js';
+import { createLeavingFailure, createNotReadyFailure, resolveCall } from './admit-call.js';
 import type { CallerRequest } from './admit-call.js';
 import { createCallQuarantine } from './call-quarantine.js';
 import { createGatewayDuties, createTimedFeed } from './gateway-duties.js';
 import type { DutyOptions, GatewayDuties } from './gateway-duties.js';
-import { LEADING_WAIT_MS, createKnowledgeKeeper } from './knowledge-keeper.js';
+import { LEADING_WATCH_WAIT_MS, createKnowledgeStore } from './knowledge-keeper.js';
 import type { RowDecoder } from './knowledge-keeper.js';
 import { createPeerExchange } from './peer-exchange.js';
 
 const TICK_MS = 100;
 /** Keys are trusted until this long, in milliseconds, before knowledge of them would be too old. */
-const KEY_MARGIN_MS = 500;
+const KEY_AGE_MARGIN_MS = 500;
 /** Part of the allowed age of keys at which an instance stops being ready, so that callers come elsewhere before it must refuse them. */
-const READY_AGE_SHARE = 0.6;
+const READY_KEY_AGE_FRACTION = 0.6;
 /** Knowledge older than this, in milliseconds, cannot say that a route or key does not exist, and peers are asked: a confirmation is due every wait, and takes some hundred to be told everywhere. */
-const RECENT_MS = LEADING_WAIT_MS + 700;
+const RECENT_KNOWLEDGE_MAX_MS = LEADING_WATCH_WAIT_MS + 700;
 
 /** What a gateway is built on. */
 export interface GatewayOptions {
@@ -113,10 +113,10 @@
   leave(): void;
   getConfiguration(): TrafficConfiguration | undefined;
   getKnowledgeState(): KnowledgeState;
-  handleTold(told: PeerTelling): void;
+  handleTold(status: PeerTelling): void;
   handleCases(from: string, cases: readonly ToldCase[]): void;
   handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
-  handleUsage(telling: UsageTelling): void;
+  handleUsage(usage: UsageTelling): void;
   /** Undefined where there are no duties. */
   getDutyStatus(): DutyStatus | undefined;
   /** This instance leaves the duties to others for a while; false where it does not hold them. */
@@ -143,7 +143,7 @@
   let table: RouteTable | undefined;
   const getNow = (): number => timers.clock.monotonicMs();
 
-  const keeper = createKnowledgeKeeper({
+  const knowledge = createKnowledgeStore({
     timers,
     random,
     log,
@@ -158,26 +158,26 @@
     onEndpointEnded(endpoint, isRestarted) {
       loads.remove(endpoint.startId);
       quarantine.recordEnded(endpoint);
-      if (isRestarted) closeConnectionsOf(endpoint);
+      if (isRestarted) closeConnectionsTo(endpoint);
     },
-    onSuspended: () => peers.postQuestions(),
+    onSuspended: () => peers.startKnowledgeFetches(),
   });
 
-  const { quarantine, ...held } = createCallQuarantine({
+  const { quarantine, ...quarantineControl } = createCallQuarantine({
     timers,
     log,
     observer: options.quarantineObserver,
     caseStore: options.caseStore,
     checkAcceptance: options.checkAcceptance,
-    findEndpoint: (id) => keeper.directory.find(id),
+    findEndpoint: (id) => knowledge.directory.find(id),
   });
 
   /** Closes what the earlier start left open, unless another endpoint has its address by now. */
-  function closeConnectionsOf({ id, address }: RegisteredEndpoint): void {
-    const isTaken = keeper.directory
+  function closeConnectionsTo({ id, address }: RegisteredEndpoint): void {
+    const isAddressReused = knowledge.directory
       .listAll()
       .some((other) => other.id !== id && other.address === address);
-    if (!isTaken) options.connections.closeAll(address);
+    if (!isAddressReused) options.connections.closeAll(address);
   }
 
   const isLeaving = (): boolean =>
@@ -198,13 +198,13 @@
     loads,
     quarantine,
     knowledge: {
-      ...keeper,
+      ...knowledge,
       setDuty(duty) {
-        keeper.setDuty(duty);
-        held.setReading(duty.kind === 'watch');
+        knowledge.setDuty(duty);
+        quarantineControl.setReading(duty.kind === 'watch');
       },
     },
-    knowledgeAgeMaxMs: RECENT_MS,
+    knowledgeAgeMaxMs: RECENT_KNOWLEDGE_MAX_MS,
     isLeaving,
   });
 
@@ -219,17 +219,17 @@
           random,
           time,
           loads,
-          directory: keeper.directory,
+          directory: knowledge.directory,
           peers,
-          getConfiguration: () => keeper.getConfiguration(),
-          getKnowledgeAge: () => keeper.computeAge(),
+          getConfiguration: () => knowledge.getConfiguration(),
+          getKnowledgeAge: () => knowledge.computeAge(),
           isLeaving,
         });
 
   const placer = createPlacer({
     loads,
     random,
-    listOpen: (pool) => keeper.directory.listOpen(pool),
+    listOpen: (pool) => knowledge.directory.listOpen(pool),
     getStanding: (route, pool) => table?.getStanding(route, pool) ?? FIRST_STANDING,
     isCut: (dataCentre) => peers.isCut(dataCentre),
     isAvoided: (endpoint) => quarantine.isInTrial(endpoint),
@@ -242,20 +242,20 @@
     retryBounds: options.retryBounds,
     timers,
     observer: options.observer,
-    listOpen: (pool) => keeper.directory.listOpen(pool),
+    listOpen: (pool) => knowledge.directory.listOpen(pool),
     findPool: (name) => table?.findPool(name),
     countInstances: () => peers.countInstances(),
     quarantine,
-    onBegun: (call, begunMs) => duties?.recordBegun(call, begunMs),
+    onBegun: (call, startedMs) => duties?.recordStarted(call, startedMs),
     checkSendable(call) {
       // Checked right before each send: a call that waited may have outlived its key.
       if (!call.isKeyed || areKeysValid()) return undefined;
-      return createNotReady('this instance cannot tell whether the key is still valid');
+      return createNotReadyFailure('this instance cannot tell whether the key is still valid');
     },
   });
 
   function areKeysValid(): boolean {
-    return keeper.computeAge() <= options.keyAgeMaxMs - KEY_MARGIN_MS;
+    return knowledge.computeAge() <= options.keyAgeMaxMs - KEY_AGE_MARGIN_MS;
   }
 
   function runDrainCommand(command: DrainCommand): void {
@@ -292,39 +292,39 @@
     resolve(request) {
       // Guards against taking what cannot be finished any more: it shows as a call cut off when the
       // process ends. Callers keep using open connections until then.
-      if (!drain.isAccepting()) return Err(createLeaving());
-      const ageMs = keeper.computeAge();
+      if (!drain.isAccepting()) return Err(createLeavingFailure());
+      const ageMs = knowledge.computeAge();
       return resolveCall(request, {
         table,
-        isRecent: ageMs <= RECENT_MS,
-        areKeysValid: ageMs <= options.keyAgeMaxMs - KEY_MARGIN_MS,
+        isRecent: ageMs <= RECENT_KNOWLEDGE_MAX_MS,
+        areKeysValid: ageMs <= options.keyAgeMaxMs - KEY_AGE_MARGIN_MS,
       });
     },
     run: (call, sink) => runner.run(call, sink),
     isReady: () =>
       drain.getStage() === STAGE.Ready &&
-      keeper.computeAge() <= options.keyAgeMaxMs * READY_AGE_SHARE,
+      knowledge.computeAge() <= options.keyAgeMaxMs * READY_KEY_AGE_FRACTION,
     isLeaving,
     leave: () => runDrain({ kind: 'leave' }),
-    getConfiguration: () => keeper.getConfiguration(),
+    getConfiguration: () => knowledge.getConfiguration(),
     getKnowledgeState: () => ({
       configurationVersion: table?.version ?? 0,
-      ageMs: keeper.computeAge(),
+      ageMs: knowledge.computeAge(),
     }),
-    handleTold: (told) => peers.handleTold(told),
+    handleTold: (status) => peers.handleTold(status),
     handleCases: (from, cases) => peers.handleCases(from, cases),
     findEndpointName: (start) =>
-      keeper.directory.listAll().find(({ startId }) => hashStart(startId) === start)?.id,
-    listCases: held.listCases,
-    releaseCase: held.releaseCase,
+      knowledge.directory.listAll().find(({ startId }) => hashStart(startId) === start)?.id,
+    listCases: quarantineControl.listCases,
+    releaseCase: quarantineControl.releaseCase,
     handleBodies: (from, bodies) => peers.handleBodies(from, bodies),
     recordUnreachable: (address) => peers.recordUnreachable(address),
-    handleUsage: (telling) => duties?.handleUsage(telling),
+    handleUsage: (usage) => duties?.handleUsage(usage),
     getDutyStatus: () => duties?.getStatus(),
     releaseDuties: () => duties?.release() ?? false,
-    buildKnowledge: (request) => keeper.buildResponse(request),
+    buildKnowledge: (request) => knowledge.buildResponse(request),
     countInstances: () => peers.countInstances(),
     countCalls: () => runner.count(),
-    stop: () => keeper.stop(),
+    stop: () => knowledge.stop(),
   };
 }
--- a/src/gateway/knowledge-questions.ts
+++ b/src/gateway/knowledge-fetcher.ts
@@ -8,7 +8,7 @@
  * News is asked for no more often than this, in milliseconds: a fleet's endpoints register one after the
  * other, and at a start each instance would ask for each of them, 24 times in five seconds.
  */
-const NEWS_PERIOD_MS = 200;
+const UPDATE_FETCH_INTERVAL_MS = 200;
 
 /** Somebody to ask. */
 export interface KnowledgePeer {
@@ -17,7 +17,7 @@
 }
 
 /** What the questions are built on. */
-export interface KnowledgeQuestionsOptions {
+export interface KnowledgeFetcherOptions {
   readonly timers: TimerService;
   readonly log: DecisionLog;
   readonly links: Pick<PeerLinks, 'fetchKnowledge'>;
@@ -27,18 +27,18 @@
 }
 
 /** Questions of one instance. */
-export interface KnowledgeQuestions {
+export interface KnowledgeFetcher {
   /** Asks a peer; one that is being asked is not asked again meanwhile. */
-  post(peer: KnowledgePeer): void;
+  startFetch(peer: KnowledgePeer): void;
   /** Asks a peer that told of something new, unless the last such question was a moment ago: what is new is told again. */
-  postForNews(peer: KnowledgePeer): void;
+  startUpdateFetch(peer: KnowledgePeer): void;
 }
 
 /** Builds questions that were not asked. */
-export function createKnowledgeQuestions(options: KnowledgeQuestionsOptions): KnowledgeQuestions {
+export function createKnowledgeFetcher(options: KnowledgeFetcherOptions): KnowledgeFetcher {
   const { timers, log, links } = options;
-  const asked = new Set<string>();
-  let askedForNewsMs = -Infinity;
+  const pendingAddresses = new Set<string>();
+  let lastUpdateFetchMs = -Infinity;
 
   async function fetchKnowledge({ name, address }: KnowledgePeer): Promise<void> {
     const sentMs = timers.clock.monotonicMs();
@@ -52,21 +52,21 @@
     }
   }
 
-  function post(peer: KnowledgePeer): void {
-    if (asked.has(peer.address)) return;
-    asked.add(peer.address);
+  function startFetch(peer: KnowledgePeer): void {
+    if (pendingAddresses.has(peer.address)) return;
+    pendingAddresses.add(peer.address);
     fetchKnowledge(peer)
       .catch(() => undefined)
-      .finally(() => asked.delete(peer.address));
+      .finally(() => pendingAddresses.delete(peer.address));
   }
 
   return {
-    post,
-    postForNews(peer) {
+    startFetch,
+    startUpdateFetch(peer) {
       const nowMs = timers.clock.monotonicMs();
-      if (nowMs - askedForNewsMs < NEWS_PERIOD_MS) return;
-      askedForNewsMs = nowMs;
-      post(peer);
+      if (nowMs - lastUpdateFetchMs < UPDATE_FETCH_INTERVAL_MS) return;
+      lastUpdateFetchMs = nowMs;
+      startFetch(peer);
     },
   };
 }
--- a/src/gateway/knowledge-keeper.test.ts
+++ b/src/gateway/knowledge-keeper.test.ts
@@ -5,8 +5,8 @@
 import type { RegisteredEndpoint, TrafficConfiguration } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
 import type { WatchDuty } from '../knowledge/watch-duty.js';
-import { createKnowledgeKeeper } from './knowledge-keeper.js';
-import type { KnowledgeKeeper, RowDecoder } from './knowledge-keeper.js';
+import { createKnowledgeStore } from './knowledge-keeper.js';
+import type { KnowledgeStore, RowDecoder } from './knowledge-keeper.js';
 
 const NEVER = new Promise<FeedAnswer>(() => {
   // The source has nothing new.
@@ -102,7 +102,7 @@
     { key: 'b', value: 'ready' },
   ]);
   const ended: string[] = [];
-  const keeper = createKnowledgeKeeper({
+  const store = createKnowledgeStore({
     timers,
     random: createRandom(1),
     log: { write: () => undefined },
@@ -113,24 +113,24 @@
     onEndpointEnded: ({ startId }) => ended.push(startId),
     onSuspended: () => undefined,
   });
-  keeper.setDuty(duty);
+  store.setDuty(duty);
   return {
-    keeper,
+    store,
     ended,
     configuration,
     endpoints,
     stop() {
-      keeper.stop();
+      store.stop();
       timers.stop();
     },
   };
 }
 
-function listOpen(keeper: KnowledgeKeeper): string[] {
-  return keeper.directory.listOpen('p').map(({ id }) => id);
+function listOpen(store: KnowledgeStore): string[] {
+  return store.directory.listOpen('p').map(({ id }) => id);
 }
 
-function sendKnowledge(from: KnowledgeKeeper, to: KnowledgeKeeper, sentMs: number): void {
+function sendKnowledge(from: KnowledgeStore, to: KnowledgeStore, sentMs: number): void {
   const request = {
     $typeName: 'hyssoptally.peer.v1.FetchKnowledgeRequest',
     configurationRevision: to.getSummary().configurationRevision,
@@ -147,12 +147,12 @@
     const harness = createHarness();
     harness.configuration.setWatchAnswered(false);
     await waitMs(30);
-    t.is(harness.keeper.getConfiguration()?.version, 7);
-    t.is(harness.keeper.computeAge(), Infinity);
+    t.is(harness.store.getConfiguration()?.version, 7);
+    t.is(harness.store.computeAge(), Infinity);
     harness.stop();
     const other = createHarness();
     await waitMs(30);
-    t.true(other.keeper.computeAge() < 1000);
+    t.true(other.store.computeAge() < 1000);
     other.stop();
   });
 
@@ -168,10 +168,10 @@
     ]);
     await waitMs(30);
     const sentMs = performance.now() - 400;
-    sendKnowledge(watcher.keeper, follower.keeper, sentMs);
-    t.is(follower.keeper.getConfiguration()?.version, 9);
-    t.deepEqual(listOpen(follower.keeper), ['c']);
-    t.true(follower.keeper.computeAge() >= 400);
+    sendKnowledge(watcher.store, follower.store, sentMs);
+    t.is(follower.store.getConfiguration()?.version, 9);
+    t.deepEqual(listOpen(follower.store), ['c']);
+    t.true(follower.store.computeAge() >= 400);
     await waitMs(50);
     t.is(follower.configuration.countCalls() + follower.endpoints.countCalls(), 0);
     follower.stop();
@@ -189,11 +189,11 @@
       { key: 'c', value: 'ready' },
     ]);
     await waitMs(30);
-    t.deepEqual(listOpen(harness.keeper), ['b', 'c']);
+    t.deepEqual(listOpen(harness.store), ['b', 'c']);
     t.deepEqual(harness.ended, ['a@ready']);
     harness.endpoints.setRows([{ key: 'a', value: 'ready' }]);
     await waitMs(30);
-    t.deepEqual(listOpen(harness.keeper).sort(), ['a', 'b', 'c']);
+    t.deepEqual(listOpen(harness.store).sort(), ['a', 'b', 'c']);
     harness.stop();
   });
 
@@ -204,7 +204,7 @@
     await waitMs(30);
     harness.endpoints.loseWatch();
     await waitMs(10);
-    harness.keeper.applyResponse(
+    harness.store.applyResponse(
       'peer',
       {
         $typeName: 'hyssoptally.peer.v1.FetchKnowledgeResponse',
@@ -226,11 +226,11 @@
       },
       performance.now(),
     );
-    t.deepEqual(listOpen(harness.keeper), ['b']);
+    t.deepEqual(listOpen(harness.store), ['b']);
     await waitMs(250);
     harness.endpoints.setRows([{ key: 'a', value: 'ready' }]);
     await waitMs(30);
-    t.deepEqual(listOpen(harness.keeper), ['b']);
+    t.deepEqual(listOpen(harness.store), ['b']);
     harness.stop();
   });
 
@@ -240,9 +240,9 @@
   it('keeps lapsed endpoints as long as the peer it asks does', async (t) => {
     const follower = createHarness();
     await waitMs(30);
-    follower.keeper.setDuty(FOLLOW);
+    follower.store.setDuty(FOLLOW);
     const answer = (renewalLeftMs: number, revision: number, rows: readonly FeedRow[]): void =>
-      follower.keeper.applyResponse(
+      follower.store.applyResponse(
         'watcher',
         {
           $typeName: 'hyssoptally.peer.v1.FetchKnowledgeResponse',
@@ -266,10 +266,10 @@
       { key: 'a', value: undefined },
       { key: 'b', value: undefined },
     ]);
-    t.deepEqual(listOpen(follower.keeper), ['a', 'b']);
+    t.deepEqual(listOpen(follower.store), ['a', 'b']);
     answer(250, 21, [{ key: 'b', value: 'ready' }]);
     await waitMs(700);
-    t.deepEqual(listOpen(follower.keeper), ['b']);
+    t.deepEqual(listOpen(follower.store), ['b']);
     follower.stop();
   });
 
@@ -280,11 +280,11 @@
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
-    sendKnowledge(watcher.keeper, follower.keeper, performance.now());
-    const summary = watcher.keeper.getSummary();
+    sendKnowledge(watcher.store, follower.store, performance.now());
+    const summary = watcher.store.getSummary();
     await waitMs(120);
-    t.false(follower.keeper.applySummary(summary));
-    t.true(follower.keeper.computeAge() >= 120);
+    t.false(follower.store.applySummary(summary));
+    t.true(follower.store.computeAge() >= 120);
     follower.stop();
     watcher.stop();
   });
@@ -293,11 +293,11 @@
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
-    const summary = watcher.keeper.getSummary();
-    t.true(follower.keeper.applySummary(summary));
-    t.false(watcher.keeper.applySummary({ ...summary, endpointsRevision: 99 }));
-    sendKnowledge(watcher.keeper, follower.keeper, performance.now());
-    t.false(follower.keeper.applySummary(summary));
+    const summary = watcher.store.getSummary();
+    t.true(follower.store.applySummary(summary));
+    t.false(watcher.store.applySummary({ ...summary, endpointsRevision: 99 }));
+    sendKnowledge(watcher.store, follower.store, performance.now());
+    t.false(follower.store.applySummary(summary));
     follower.stop();
     watcher.stop();
   });
@@ -308,13 +308,13 @@
     const harness = createHarness();
     await waitMs(30);
     const calls = harness.endpoints.countCalls();
-    const ahead = { ...harness.keeper.getSummary(), endpointsRevision: 99 };
-    harness.keeper.applySummary(ahead);
+    const ahead = { ...harness.store.getSummary(), endpointsRevision: 99 };
+    harness.store.applySummary(ahead);
     await waitMs(300);
-    harness.keeper.applySummary(ahead);
+    harness.store.applySummary(ahead);
     t.is(harness.endpoints.countCalls(), calls);
     await waitMs(500);
-    harness.keeper.applySummary(ahead);
+    harness.store.applySummary(ahead);
     t.true(harness.endpoints.countCalls() > calls);
     harness.stop();
   });
@@ -325,7 +325,7 @@
     const harness = createHarness({ ...WATCH, isLeading: false });
     await waitMs(30);
     const calls = harness.configuration.countCalls();
-    harness.keeper.setDuty(WATCH);
+    harness.store.setDuty(WATCH);
     await waitMs(30);
     t.true(harness.configuration.countCalls() > calls);
     harness.stop();
--- a/src/gateway/knowledge-keeper.ts
+++ b/src/gateway/knowledge-keeper.ts
@@ -29,9 +29,9 @@
  * timeout of 0.7 s the silence is found after 2.2 s, and connections that were cut count as disturbed
  * for 3 s.
  */
-export const LEADING_WAIT_MS = 1500;
+export const LEADING_WATCH_WAIT_MS = 1500;
 /** The same for a watcher on whose confirmations nobody relies. */
-const STANDBY_WAIT_MS = 6000;
+const STANDBY_WATCH_WAIT_MS = 6000;
 /** Reads rows of the source; undefined where a row was removed or says nothing the product understands. */
 export interface RowDecoder {
   decodeConfiguration(row: FeedRow): TrafficConfiguration | undefined;
@@ -39,7 +39,7 @@
 }
 
 /** What a keeper is built on. */
-export interface KnowledgeKeeperOptions {
+export interface KnowledgeStoreOptions {
   readonly timers: TimerService;
   readonly random: Random;
   readonly log: DecisionLog;
@@ -54,7 +54,7 @@
 }
 
 /** Knowledge of one instance. */
-export interface KnowledgeKeeper {
+export interface KnowledgeStore {
   readonly directory: Pick<EndpointDirectory, 'listOpen' | 'find' | 'listAll'>;
   getConfiguration(): TrafficConfiguration | undefined;
   /** Milliseconds since the configuration in hand was surely the newest. */
@@ -72,15 +72,15 @@
 }
 
 /** Builds a keeper that knows nothing. */
-export function createKnowledgeKeeper(options: KnowledgeKeeperOptions): KnowledgeKeeper {
+export function createKnowledgeStore(options: KnowledgeStoreOptions): KnowledgeStore {
   const { timers, log, decoder } = options;
   const knowledge = createConfigurationKnowledge<TrafficConfiguration>();
   const sourceClock = createSourceClock();
-  const suspension = createSuspensionDetector(timers.clock);
+  const suspensionDetector = createSuspensionDetector(timers.clock);
   const directory = createEndpointDirectory();
   const configurationRows = createTableMirror();
   const endpointRows = createTableMirror();
-  const behind = createBehindDetector();
+  const behindDetector = createBehindDetector();
   let trustedSinceMs = -Infinity;
   let isSourceLost = false;
   let duty: WatchDuty = { kind: 'follow' };
@@ -88,7 +88,7 @@
 
   /** Distrusts what is known after a suspension: how long it lasted this process cannot know. */
   function checkSuspension(): void {
-    if (!suspension.checkSuspended()) return;
+    if (!suspensionDetector.checkSuspended()) return;
     trustedSinceMs = getNow();
     sourceClock.reset();
     log.write({ event: 'clocks_parted', configurationVersion: knowledge.getVersion() });
@@ -192,7 +192,7 @@
   }
 
   function getWaitMs(): number {
-    return duty.kind === 'watch' && duty.isLeading ? LEADING_WAIT_MS : STANDBY_WAIT_MS;
+    return duty.kind === 'watch' && duty.isLeading ? LEADING_WATCH_WAIT_MS : STANDBY_WATCH_WAIT_MS;
   }
 
   function getPauseFactor(): number {
@@ -298,8 +298,8 @@
   }
 
   function checkBehind(endpointsRevision: number): void {
-    if (duty.kind === 'follow') behind.stop();
-    else if (behind.checkBehind(endpointsRevision, endpointRows.getRevision(), getNow())) {
+    if (duty.kind === 'follow') behindDetector.stop();
+    else if (behindDetector.checkBehind(endpointsRevision, endpointRows.getRevision(), getNow())) {
       endpointWatcher.restart();
     }
   }
@@ -327,8 +327,8 @@
         knowledge.record({ version, configuration: undefined, knownAtMs: confirmedAtMs });
       }
       checkBehind(endpointsRevision);
-      const isNews = isNewer || endpointsRevision > endpointRows.getContentRevision();
-      return isNews && (duty.kind === 'follow' || isSourceLost);
+      const isPeerAhead = isNewer || endpointsRevision > endpointRows.getContentRevision();
+      return isPeerAhead && (duty.kind === 'follow' || isSourceLost);
     },
     buildResponse(request) {
       const configuration = buildConfigurationTable(request.configurationRevision);
@@ -353,18 +353,18 @@
       const isNeeded = duty.kind === 'follow' || isSourceLost || endpointRows.getRevision() === 0;
       if (isNeeded && endpoints !== undefined) applyEndpointTable(endpoints, renewalLeftMs, peer);
     },
-    setDuty(next) {
-      const before = duty;
-      duty = next;
-      if (next.kind !== before.kind) {
-        const isWatching = next.kind === 'watch';
+    setDuty(nextDuty) {
+      const previousDuty = duty;
+      duty = nextDuty;
+      if (nextDuty.kind !== previousDuty.kind) {
+        const isWatching = nextDuty.kind === 'watch';
         log.write({ event: 'watching_changed', isWatching });
         if (isWatching) startWatching();
         else stopWatching();
         return;
       }
-      const wasLeading = before.kind === 'watch' && before.isLeading;
-      if (next.kind === 'follow' || !next.isLeading || wasLeading) return;
+      const wasLeading = previousDuty.kind === 'watch' && previousDuty.isLeading;
+      if (nextDuty.kind === 'follow' || !nextDuty.isLeading || wasLeading) return;
       // A call under way would wait for seconds, and a confirmation is wanted now.
       configurationWatcher.restart();
       endpointWatcher.restart();
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -23,17 +23,17 @@
 import type { TimerService } from '../runtime/timer-service.js';
 import type { InstanceListClient } from '../storage/instance-list-client.js';
 import type { Random } from '../utils/random.js';
-import type { KnowledgeKeeper } from './knowledge-keeper.js';
-import { createKnowledgeQuestions } from './knowledge-questions.js';
-import type { KnowledgePeer } from './knowledge-questions.js';
+import type { KnowledgeStore } from './knowledge-keeper.js';
+import { createKnowledgeFetcher } from './knowledge-fetcher.js';
+import type { KnowledgePeer } from './knowledge-fetcher.js';
 
 /** A round of membership probes, in milliseconds: nothing waits on the verdict, and each probe costs a millisecond of processor time on both sides. */
 const PROBE_PERIOD_MS = 2000;
 /** Probes are looked at this often, in milliseconds: the shortest bound on them is 200. */
-const FLEET_TICK_MS = 100;
+const MEMBERSHIP_TICK_MS = 100;
 /** Whether to watch is decided, and peers are asked while the own knowledge is too old, this often, in milliseconds. */
-const DUTY_PERIOD_MS = 300;
-const ASK_PEERS = 2;
+const WATCH_DUTY_PERIOD_MS = 300;
+const FETCH_PEERS_COUNT = 2;
 
 /** What the exchange is built on. */
 export interface PeerExchangeOptions {
@@ -51,7 +51,7 @@
   readonly loads: EndpointLoads;
   readonly quarantine: Pick<Quarantine, 'takeTold' | 'merge'>;
   readonly knowledge: Pick<
-    KnowledgeKeeper,
+    KnowledgeStore,
     'applyResponse' | 'applySummary' | 'computeAge' | 'getSummary' | 'setDuty'
   >;
   /** Knowledge older than this is too old for some uses, in milliseconds: peers are asked. */
@@ -61,20 +61,20 @@
 
 /** An instance's dealings with the others. */
 export interface PeerExchange {
-  handleTold(told: PeerTelling): void;
+  handleTold(status: PeerTelling): void;
   handleCases(from: string, cases: readonly ToldCase[]): void;
   handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
   recordUnreachable(address: string): void;
   /** Asks others for what they know, whatever the age of the own knowledge. */
-  postQuestions(): void;
+  startKnowledgeFetches(): void;
   /** Whether a data centre is out of reach for now. */
   isCut(dataCentre: string): boolean;
   /** Whether this instance is one of those that keep what the fleet's duties need. */
-  isKeeper(): boolean;
+  isDutyCandidate(): boolean;
   /** Names of the other keepers. */
-  listKeepers(): readonly string[];
+  listDutyCandidates(): readonly string[];
   /** Tells the other keepers. */
-  sendUsage(telling: UsageTelling): void;
+  sendUsage(usage: UsageTelling): void;
   /** Instances that share the endpoints, this one included. */
   countInstances(): number;
   leave(): void;
@@ -89,13 +89,13 @@
   const watchDuty = createWatchDuty(getNow());
   const hasContacts = seeds.length > 0 && !seeds.includes(self.address);
   let isListed = false;
-  let cut: ReadonlySet<string> = new Set();
+  let unreachableDataCentres: ReadonlySet<string> = new Set();
   /** The other keepers. */
-  let keepers: readonly Contact[] = [];
-  let isKeeper = false;
+  let otherCandidates: readonly Contact[] = [];
+  let isCandidate = false;
 
   /** Full exchanges outgrow a datagram; all other gossip fits one. */
-  function postGossip(address: string, body: PeerMessage['body']): void {
+  function sendGossip(address: string, body: PeerMessage['body']): void {
     if (body.case === 'syncFacts') links.send(address, body);
     else options.datagrams.sendGossip(address, body);
   }
@@ -112,10 +112,10 @@
     usesList: () => isListed,
     seeds,
     isLeaving: options.isLeaving,
-    tickMs: FLEET_TICK_MS,
-    send: postGossip,
-    onChanged(fact, before) {
-      if (before?.state === fact.state) return;
+    tickMs: MEMBERSHIP_TICK_MS,
+    send: sendGossip,
+    onChanged(fact, previous) {
+      if (previous?.state === fact.state) return;
       log.write({ event: 'peer_changed', peer: fact.subject, state: FactState[fact.state] });
     },
   });
@@ -129,7 +129,7 @@
   }
 
   const loadExchange = createLoadExchange({ self, loads, listFleet: listAlive });
-  const questions = createKnowledgeQuestions({
+  const knowledgeFetcher = createKnowledgeFetcher({
     timers,
     log,
     links,
@@ -138,33 +138,36 @@
     onKnowledge: (peer, response, sentMs) => knowledge.applyResponse(peer, response, sentMs),
   });
 
-  function choosePeers(peers: readonly KnowledgePeer[], count: number): KnowledgePeer[] {
-    const rest = [...peers];
-    while (rest.length > count) rest.splice(random.nextIndex(rest.length), 1);
-    return rest;
+  function chooseRandomPeers(peers: readonly KnowledgePeer[], count: number): KnowledgePeer[] {
+    const chosen = [...peers];
+    while (chosen.length > count) chosen.splice(random.nextIndex(chosen.length), 1);
+    return chosen;
   }
 
-  function postQuestions(): void {
+  function startKnowledgeFetches(): void {
     if (
       Number.isFinite(knowledge.computeAge()) ||
       knowledge.getSummary().configurationRevision > 0
     ) {
       const others = listAlive().filter(({ name }) => name !== self.name);
-      for (const peer of choosePeers(others, ASK_PEERS)) questions.post(peer);
+      for (const peer of chooseRandomPeers(others, FETCH_PEERS_COUNT))
+        knowledgeFetcher.startFetch(peer);
       return;
     }
     // Who knows something will tell; until then the seeds are the first to know.
     const contacts = seeds
       .filter((address) => address !== self.address)
       .map((address) => ({ name: address, address }));
-    for (const seed of choosePeers(contacts, 1)) questions.post(seed);
+    for (const seed of chooseRandomPeers(contacts, 1)) knowledgeFetcher.startFetch(seed);
   }
 
   /** Looked at here rather than at each choice: it walks the whole fleet. */
-  function updateCut(): void {
+  function updateUnreachable(): void {
     const nowMs = getNow();
     const dataCentres = new Set(fleet.listPresent().map((fact) => fact.dataCentre));
-    cut = new Set([...dataCentres].filter((name) => reachability.isCut(name, nowMs)));
+    unreachableDataCentres = new Set(
+      [...dataCentres].filter((name) => reachability.isCut(name, nowMs)),
+    );
   }
 
   /** Cases go to whom loads are told: so they reach everybody in as many steps. */
@@ -176,14 +179,14 @@
   }
 
   /** Keepers are those that follow the source: they reach what duties need. */
-  function updateKeepers(alive: readonly Contact[]): void {
+  function updateDutyCandidates(alive: readonly Contact[]): void {
     const names = new Set(listWatchers(alive));
-    keepers = alive.filter(({ name }) => names.has(name) && name !== self.name);
+    otherCandidates = alive.filter(({ name }) => names.has(name) && name !== self.name);
   }
 
-  function advanceDuty(): void {
-    const alive = listAlive().filter(({ dataCentre }) => !cut.has(dataCentre));
-    updateKeepers(alive);
+  function advanceWatchDuty(): void {
+    const alive = listAlive().filter(({ dataCentre }) => !unreachableDataCentres.has(dataCentre));
+    updateDutyCandidates(alive);
     const duty = watchDuty.advance(
       {
         self: self.name,
@@ -195,38 +198,39 @@
     );
     isListed = duty.kind === 'watch' && duty.isListed;
     // Not by the list of those that are alive: who starts knows nobody and would take itself for one of few.
-    isKeeper = isListed;
+    isCandidate = isListed;
     knowledge.setDuty(duty);
   }
 
   timers.subscribe(TELL_PERIOD_MS, () => {
-    updateCut();
+    updateUnreachable();
     const summary = knowledge.getSummary();
     const tellings = loadExchange.advance(getNow());
     const time = options.time.buildTold(getNow());
     for (const telling of tellings) options.datagrams.sendLoads(telling, summary, time);
     sendCases(tellings);
   });
-  timers.subscribe(DUTY_PERIOD_MS, () => {
-    advanceDuty();
-    if (knowledge.computeAge() > options.knowledgeAgeMaxMs) postQuestions();
+  timers.subscribe(WATCH_DUTY_PERIOD_MS, () => {
+    advanceWatchDuty();
+    if (knowledge.computeAge() > options.knowledgeAgeMaxMs) startKnowledgeFetches();
   });
-  timers.subscribeOnce(0, advanceDuty);
+  timers.subscribeOnce(0, advanceWatchDuty);
 
   return {
-    handleTold(told) {
+    handleTold(status) {
       const nowMs = getNow();
-      for (const name of [told.dataCentre, ...told.heardDataCentres]) {
+      for (const name of [status.dataCentre, ...status.heardDataCentres]) {
         reachability.recordHeard(name, nowMs);
       }
-      if (told.time !== undefined) options.time.recordTold(told.time, nowMs);
-      loadExchange.handle(told, nowMs);
-      const isNews = knowledge.applySummary(told.knowledge);
-      const address = isNews ? fleet.findAddress(told.instance) : undefined;
-      if (address !== undefined) questions.postForNews({ name: told.instance, address });
+      if (status.time !== undefined) options.time.recordTold(status.time, nowMs);
+      loadExchange.handle(status, nowMs);
+      const isPeerAhead = knowledge.applySummary(status.knowledge);
+      const address = isPeerAhead ? fleet.findAddress(status.instance) : undefined;
+      if (address !== undefined)
+        knowledgeFetcher.startUpdateFetch({ name: status.instance, address });
     },
     handleCases: (from, cases) => options.quarantine.merge(cases, from),
-    isCut: (dataCentre) => cut.has(dataCentre),
+    isCut: (dataCentre) => unreachableDataCentres.has(dataCentre),
     handleBodies(from, bodies) {
       for (const body of bodies) {
         switch (body.case) {
@@ -243,12 +247,12 @@
       }
     },
     recordUnreachable: (address) => fleet.recordUnreachable(address),
-    postQuestions,
-    isKeeper: () => isKeeper,
-    listKeepers: () => keepers.map(({ name }) => name),
-    sendUsage(telling) {
-      const addresses = keepers.map(({ address }) => address);
-      if (addresses.length > 0) options.datagrams.sendUsage(addresses, telling);
+    startKnowledgeFetches,
+    isDutyCandidate: () => isCandidate,
+    listDutyCandidates: () => otherCandidates.map(({ name }) => name),
+    sendUsage(usage) {
+      const addresses = otherCandidates.map(({ address }) => address);
+      if (addresses.length > 0) options.datagrams.sendUsage(addresses, usage);
     },
     countInstances: () => fleet.listAlive().length,
     leave: () => fleet.leave(),
