--- a/src/calls/attempt-policy.ts
+++ b/src/calls/attempt-policy.ts
@@ -1,24 +1,24 @@
-/** When an attempt counts as stalled, and what its end says of its endpoint. */
+/** Timeouts of attempts, and the verdict on an endpoint after an attempt. */
 import { ENDPOINT_VERDICT } from '../placement/endpoint-loads.js';
 import type { EndpointVerdict } from '../placement/endpoint-loads.js';
 import { CALL_KIND } from '../types/traffic.js';
 import type { CallKind } from '../types/traffic.js';
 import type { AttemptEnd, RoutedCall } from './call-messages.js';
 
-/** An attempt counts as stalled after this many times the route's target. */
+/** Multiple of the route's latency target after which an attempt without a response counts as stalled. */
 const FIRST_RESPONSE_TARGET_FACTOR = 3;
-/** A stream's first event counts as stalled no sooner than after this many of its longest pauses: its prompt may stand behind others. */
+/** Lower bound of the same timeout for streams, as a multiple of the gap target: the prompt may be queued behind others. */
 const FIRST_RESPONSE_GAP_FACTOR = 6;
-/** A stream counts as stalled after this many times the longest pause that is still in time: an engine that has turned three times slower still serves. */
+/** Multiple of the gap target after which a stream without a new event counts as stalled. */
 const STREAM_IDLE_GAP_FACTOR = 3;
 const SERVER_ERROR_MIN = 500;
 
-/** Whether the answer is an event stream. */
+/** Whether calls of this kind are answered by an event stream. */
 export function isStream(kind: CallKind): boolean {
   return kind === CALL_KIND.Stream || kind === CALL_KIND.ResumableStream;
 }
 
-/** Silence after which an attempt without an answer is given up, in milliseconds. */
+/** Returns the time after which an attempt without a response counts as stalled. */
 export function computeFirstResponseTimeoutMs({ route }: RoutedCall): number {
   return Math.max(
     route.targetMs * FIRST_RESPONSE_TARGET_FACTOR,
@@ -26,12 +26,12 @@
   );
 }
 
-/** Silence after which a stream that began is given up, in milliseconds. */
+/** Returns the time without an event after which a stream counts as stalled. */
 export function computeStreamIdleTimeoutMs({ route }: RoutedCall): number {
   return (route.gapTargetMs ?? route.targetMs) * STREAM_IDLE_GAP_FACTOR;
 }
 
-/** What an attempt's end says of its endpoint. */
+/** Judges the endpoint by the result of an attempt. */
 export function computeEndpointVerdict(end: AttemptEnd): EndpointVerdict {
   switch (end.kind) {
     case 'unsent':
@@ -39,7 +39,7 @@
     case 'broken':
       return ENDPOINT_VERDICT.Failed;
     case 'rejected':
-      // Where another endpoint has the address, this one is gone and its entry lags behind.
+      // If the address belongs to another endpoint, this one is gone and its registry entry is stale.
       return end.isWrongEndpoint ? ENDPOINT_VERDICT.Unreachable : ENDPOINT_VERDICT.Errored;
     case 'answered':
       return end.head.status >= SERVER_ERROR_MIN ? ENDPOINT_VERDICT.Errored : ENDPOINT_VERDICT.Good;
--- a/src/calls/attempt-reader.test.ts
+++ b/src/calls/attempt-reader.test.ts
@@ -24,8 +24,7 @@
 }
 
 describe('attempt reader', ({ it }) => {
-  // An endpoint sends a second answer to an earlier call; it arrives where the next call's answer is
-  // expected. Delivering it would hand a clerk somebody else's order.
+  // Guards against delivering a late response to an earlier call of the same connection.
   it('takes an answer to another call for none', (t) => {
     const { reader, ends } = createHarness();
     t.false(reader.readHead(200, { ...HEAD, callId: 'theirs' }));
@@ -58,7 +57,7 @@
     t.is(ends[0]?.kind, 'broken');
   });
 
-  // A stream's connection ends in an orderly way in the middle of an event.
+  // The connection is closed with a FIN in the middle of an event.
   it('takes a stream that ends in the middle of an event for broken', (t) => {
     const { reader, ends, events } = createHarness(true);
     reader.readHead(200, { ...HEAD, isEventStream: true });
--- a/src/calls/attempt-reader.ts
+++ b/src/calls/attempt-reader.ts
@@ -1,27 +1,26 @@
 /**
- * Turns what one exchange with an endpoint brings into typed messages: whose answer it is, whether
- * it is whole, whether the endpoint ran anything.
+ * Reads the response of one attempt and reports its events and result. Checks that the response belongs
+ * to the call, that it is complete, and whether the endpoint ran the call.
  */
 import type { AnswerHead, AttemptEnd, HeaderField } from './call-messages.js';
 import { RESPONSE_BYTES_MAX } from './response-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
 
-/** What an endpoint's status and headers say. */
+/** Status and headers of a response, decoded by the endpoint protocol. */
 export interface DecodedHead {
-  /** The call the endpoint says it answers; undefined where it says nothing. */
+  /** Call id in the response; undefined if it has none. */
   readonly callId: string | undefined;
-  /** The endpoint says that it did not run the call. */
+  /** The endpoint reports that it did not run the call. */
   readonly isUnrun: boolean;
-  /** Another endpoint has the address now. */
+  /** The address now belongs to another endpoint. */
   readonly isWrongEndpoint: boolean;
-  /** The answer bears the mark that every endpoint puts on its own. */
+  /** The response has the signature header that every endpoint adds. */
   readonly isSigned: boolean;
   readonly isEventStream: boolean;
   readonly headers: readonly HeaderField[];
 }
 
-/** What the reader reports. */
 export interface AttemptListener {
   onStreamStarted(head: AnswerHead): void;
   onEvent(event: StreamEvent): void;
@@ -29,21 +28,19 @@
   onEnded(end: AttemptEnd): void;
 }
 
-/** Reads one exchange. */
 export interface AttemptReader {
-  /** False where the rest of the exchange is of no use: its connection is to be closed. */
+  /** False if the rest of the response is not needed and the connection must be closed. */
   readHead(status: number, head: DecodedHead): boolean;
   readData(bytes: Buffer): boolean;
-  /** The exchange is whole. */
+  /** The response ended. */
   readEnd(): void;
-  /** The exchange broke off; `isSent`: bytes of the call may have reached the endpoint. */
+  /** The exchange failed; `isSent`: bytes of the request may have reached the endpoint. */
   readError(isSent: boolean, reason: string): void;
 }
 
 const SUCCESS_STATUS_MIN = 200;
 const SUCCESS_STATUS_MAX = 299;
 
-/** Builds a reader for the call with this id. */
 export function createAttemptReader(
   callId: string,
   isStreamExpected: boolean,
@@ -82,8 +79,7 @@
   return {
     readHead(status, decoded) {
       const isSuccess = status >= SUCCESS_STATUS_MIN && status <= SUCCESS_STATUS_MAX;
-      // Guards against late answers to earlier calls of the connection: delivering one would hand a
-      // caller somebody else's answer.
+      // Guards against delivering a late response to an earlier call of the connection.
       const isOtherCall = decoded.callId !== undefined && decoded.callId !== callId;
       if (isOtherCall || (isSuccess && decoded.callId === undefined)) {
         close({ kind: 'broken', reason: 'an answer to another call' });
@@ -125,7 +121,7 @@
     },
     readError(isSent, reason) {
       if (mode === 'ended') return;
-      // A refusal is proof by its head alone, whatever became of its body.
+      // The head of a rejection proves that the call did not run, even if the body is incomplete.
       if (mode === 'rejected') close({ kind: 'rejected', isWrongEndpoint });
       else if (!isSent) close({ kind: 'unsent' });
       else close({ kind: 'broken', reason });
--- a/src/calls/call-messages.ts
+++ b/src/calls/call-messages.ts
@@ -1,15 +1,15 @@
-/** A routed call, its answer, and what a call's life is told and asks for. */
+/** Types of a routed call, its response, and the inputs and commands of the call state machine. */
 import type { Route } from '../types/traffic.js';
 import type { RequestFailure } from '../types/outcomes.js';
 import type { ContentId } from './content-id.js';
 
-/** A header as it came: name and value. */
+/** A header with its original name and value. */
 export interface HeaderField {
   readonly name: string;
   readonly value: string;
 }
 
-/** What is passed on as it came. */
+/** The parts of a request that are forwarded unchanged. */
 export interface CallPayload {
   readonly method: string;
   /** Path and query. */
@@ -18,69 +18,69 @@
   readonly body: Buffer;
 }
 
-/** A part of a prompt that other prompts may begin with too. */
+/** A prefix segment of a prompt, which other prompts may share. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** The size of a prompt and what it is made of. */
+/** Size and segments of a prompt. */
 export interface PromptShape {
   readonly model: string;
   readonly inputTokens: number;
   readonly outputTokensMax: number;
-  /** In order; the last part belongs to the call itself or to its session. */
+  /** In prompt order; the last part is specific to the call or its session. */
   readonly parts: readonly PromptPart[];
 }
 
-/** A checked call on its way through the router. */
+/** A validated call. */
 export interface RoutedCall {
-  /** Named by the caller, one for each of its attempts. */
+  /** Chosen by the caller, different for each request it sends. */
   readonly callId: string;
-  /** The same for every attempt of any caller at the same request. */
+  /** The same for all requests with the same content. */
   readonly contentId: ContentId;
   readonly route: Route;
   readonly pool: string;
   /** Undefined on public routes. */
   readonly organisation: string | undefined;
-  /** Whether the call may only be sent while its key is surely still valid. */
+  /** Whether the call was authenticated by a key, which must still be valid when the call is sent. */
   readonly isKeyed: boolean;
-  /** Rank among all calls, 0 for the most urgent to 9: the route's priority, then the organisation's. */
+  /** From 0 (most urgent) to 9; derived from the priorities of the route and the organisation. */
   readonly urgency: number;
   readonly prompt: PromptShape | undefined;
   readonly payload: CallPayload;
-  /** The last event the caller has from an earlier answer. */
+  /** Last event that the caller received from an earlier response. */
   readonly lastEventId: string | undefined;
   readonly receivedMs: number;
-  /** Monotonic moment at which the caller or the route gives the call up. */
+  /** Monotonic time at which the timeout of the caller or the route ends. */
   readonly deadlineMs: number;
 }
 
-/** Status and headers of an endpoint's answer. */
+/** Status and headers of an endpoint's response. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: readonly HeaderField[];
 }
 
-/** How an attempt at an endpoint ended. */
+/** Result of one attempt at an endpoint. */
 export type AttemptEnd =
-  /** No byte of the call reached the endpoint. */
+  /** No byte of the request reached the endpoint. */
   | { readonly kind: 'unsent' }
-  /** The endpoint says that it ran nothing: it is full, or is not the one that was meant. */
+  /** The endpoint reports that it did not run the call: it is full, or is not the intended endpoint. */
   | { readonly kind: 'rejected'; readonly isWrongEndpoint: boolean }
-  /** A whole answer that is no event stream, whatever its status. */
+  /** A complete response other than an event stream, with any status. */
   | { readonly kind: 'answered'; readonly head: AnswerHead; readonly body: Buffer }
-  /** The event stream came to its end. */
+  /** The event stream completed. */
   | { readonly kind: 'stream_ended' }
-  /** The connection broke, or what came is not this call's whole answer; it may have run. */
+  /** The connection failed or the response is invalid or incomplete; the call may have run. */
   | { readonly kind: 'broken'; readonly reason: string };
 
-/** What a call's life is told. */
+/** Input of the call state machine. */
 export type CallMessage =
   | { readonly kind: 'start' }
-  /** No endpoint can get the call now; nothing was sent. */
+  /** The attempt could not be placed at an endpoint; nothing was sent. */
   | { readonly kind: 'unplaced'; readonly failure: RequestFailure }
-  /** The attempt that was asked for is on its way to an endpoint; until then it waited here. */
+  /** The requested attempt is being sent to an endpoint; until then it was queued. */
   | { readonly kind: 'dispatched'; readonly attempt: number }
   | { readonly kind: 'stream_started'; readonly attempt: number; readonly head: AnswerHead }
   | {
@@ -93,12 +93,12 @@
   | { readonly kind: 'caller_left' }
   | { readonly kind: 'tick' };
 
-/** Why an attempt is given up. */
+/** Why an attempt is cancelled. */
 export type CancelReason = 'deadline' | 'stalled' | 'caller left';
 
-/** What a call's life asks for. */
+/** Output of the call state machine. */
 export type CallCommand =
-  /** Choose an endpoint and send the call there, after this event where it goes on. */
+  /** Choose an endpoint and send the call there, resuming after `lastEventId` if it is set. */
   | {
       readonly kind: 'attempt';
       readonly attempt: number;
@@ -109,11 +109,11 @@
   | { readonly kind: 'deliver_event'; readonly bytes: Buffer }
   | { readonly kind: 'deliver_end' }
   | { readonly kind: 'deliver_answer'; readonly head: AnswerHead; readonly body: Buffer }
-  /** Part of the answer was delivered and the rest cannot be: the caller must see that. */
+  /** The response is incomplete after part of it was delivered; the caller must be able to detect that. */
   | { readonly kind: 'break_answer'; readonly reason: string }
   | { readonly kind: 'fail'; readonly failure: RequestFailure };
 
-/** Where an answer goes; after `onEnd`, `onAnswer`, `onBroken` or `onFailure` nothing follows. */
+/** Receives the response of a call; every method except `onHead` and `onEvent` is final. */
 export interface CallSink {
   onHead(head: AnswerHead): void;
   onEvent(bytes: Buffer): void;
--- a/src/calls/call-runner.ts
+++ b/src/calls/call-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out what calls' lives ask for: choosing endpoints, exchanges with them, answers. */
+/** Executes the commands of call state machines: places attempts, talks to endpoints, delivers responses. */
 import { createPoolBudgets } from '../attempts/pool-budgets.js';
 import type { RetryBounds } from '../attempts/shared-retry-budget.js';
 import type { Placement } from '../placement/choose-endpoint.js';
@@ -35,12 +35,11 @@
 import type { EndpointConnections } from './endpoint-connections.js';
 import type { EndpointProtocol } from './endpoint-protocol.js';
 
-/** Calls' deadlines and stalls are looked at this often, in milliseconds: a fifth of the shortest slack a deadline has. Each look wakes the process, and an instance of hundreds nearly always has a call. */
+/** Interval at which deadlines and stalls are checked. */
 const TICK_MS = 100;
-/** Calls that wait are placed anew this often, in milliseconds: slots come free every few. */
+/** Interval at which placement of waiting calls is retried. */
 const PLACEMENT_INTERVAL_MS = 25;
 
-/** What a runner is built on. */
 export interface CallRunnerOptions {
   readonly connections: EndpointConnections;
   readonly protocol: EndpointProtocol;
@@ -51,25 +50,23 @@
   readonly observer: CallObserver;
   readonly listOpen: (pool: string) => readonly RegisteredEndpoint[];
   readonly findPool: (name: string) => TrafficPool | undefined;
-  /** Instances that share the endpoints, this one included. */
+  /** Number of instances that share the endpoints, including this one. */
   readonly countInstances: () => number;
   readonly quarantine: Pick<Quarantine, 'check' | 'isCondemned' | 'startWatch'>;
-  /** An endpoint began the call at a moment of the monotonic clock; once for each call. */
+  /** An endpoint started the call, at a time of the monotonic clock; called once for each call. */
   readonly onBegun: (call: RoutedCall, startedMs: number) => void;
-  /** Why the call must not be sent now, if it must not. */
+  /** Returns a failure if the call must not be sent now. */
   readonly checkSendable: (call: RoutedCall) => RequestFailure | undefined;
 }
 
-/** A call that runs. */
 export interface RunningCall {
-  /** The caller closed its connection. */
+  /** Called when the caller disconnects. */
   close(): void;
 }
 
-/** Runs calls. */
 export interface CallRunner {
   run(call: RoutedCall, sink: CallSink): RunningCall;
-  /** Calls without a final answer. */
+  /** Number of calls that have not ended. */
   count(): number;
 }
 
@@ -84,21 +81,20 @@
   ticket: LoadTicket | undefined;
   watch: AttemptWatch | undefined;
   firstMs: number | undefined;
-  /** When the attempt under way was sent. */
+  /** When the current attempt was sent. */
   sentMs: number;
   isStarted: boolean;
 }
 
-/** Whether an endpoint may have begun the attempt that ended so. */
+/** Whether an endpoint may have run an attempt with this result. */
 function hasPossiblyRun({ kind }: AttemptEnd): boolean {
   return kind === 'answered' || kind === 'broken';
 }
 
-/** Builds a runner with nothing running. */
 export function createCallRunner(options: CallRunnerOptions): CallRunner {
   const { connections, protocol, loads, placer, timers, observer } = options;
   const runs = new Set<Run>();
-  /** Calls that wait here for an endpoint to be less busy. */
+  /** Attempts queued at this instance until an endpoint has capacity. */
   const waitingAttempts = new Map<Run, AttemptCommand>();
   let stopTickTimer: Unsubscribe | undefined;
   let stopPlacementTimer: Unsubscribe | undefined;
@@ -120,7 +116,7 @@
     options.onBegun(run.call, startedMs);
   }
 
-  /** A stream begins with its first event; anything else when it is sent, whatever becomes of its answer. */
+  /** A stream counts as started at its first event, any other call when it was sent. */
   function recordNonStreamStarted(run: Run): void {
     if (!isStream(run.call.route.kind)) recordStarted(run, run.sentMs);
   }
@@ -188,7 +184,7 @@
     );
   }
 
-  /** Sends a call that was asked for an attempt, or lets it wait; true where it need not wait. */
+  /** Sends or rejects the requested attempt; false if it has to wait. */
   function sendAttempt(run: Run, command: AttemptCommand): boolean {
     const { call } = run;
     const failure = options.checkSendable(call);
@@ -284,7 +280,7 @@
   function advanceRun(run: Run, message: CallMessage): void {
     const commands = run.stateMachine.handle(message, getNow());
     const isOver = run.stateMachine.isEnded() && runs.delete(run);
-    // Guards against sending a held call whose caller has left: its life asks for no cancel then.
+    // Guards against sending a waiting call after its caller left, which produces no cancel command.
     if (isOver) waitingAttempts.delete(run);
     for (const command of commands) runCommand(run, command);
     if (!isOver) return;
@@ -299,7 +295,7 @@
     });
   }
 
-  /** Looks for room only while calls wait for it. */
+  /** Runs the timer only while calls wait. */
   function startPlacementTimer(): void {
     stopPlacementTimer ??= timers.subscribe(PLACEMENT_INTERVAL_MS, () => {
       advanceWaitingCalls();
@@ -309,7 +305,7 @@
     });
   }
 
-  /** Ticks only while calls run: an idle instance need not wake. */
+  /** Runs the timer only while there are calls, so that an idle process does not wake up. */
   function startTickTimer(): void {
     stopTickTimer ??= timers.subscribe(TICK_MS, () => {
       for (const run of [...runs]) advanceRun(run, { kind: 'tick' });
--- a/src/calls/call-state-machine.test.ts
+++ b/src/calls/call-state-machine.test.ts
@@ -57,8 +57,7 @@
 
 describe('call life', ({ describe: block }) => {
   block('calls that may run once', ({ it }) => {
-    // A clerk posts an order; the connection to its endpoint breaks after the order was written.
-    // Sending it again could ship twice, and "not run" could be false: the answer is 502.
+    // Guards against running a non-idempotent call twice, and against reporting it as not run.
     it('are not sent again once they may have run, and are not said to be unrun', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
@@ -68,7 +67,6 @@
       t.is(findFailure(ended)?.retryAfterMs, undefined);
     });
 
-    // The first endpoint is full and says so; a second may have the order without danger.
     it('go to another endpoint when the first proves that it ran nothing', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
@@ -79,7 +77,7 @@
       t.truthy(findFailure(last)?.retryAfterMs);
     });
 
-    // The caller leaves while its order runs: stopping it halfway helps nobody.
+    // Guards against cancelling a non-idempotent call halfway.
     it('are seen through when their caller leaves', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
@@ -88,8 +86,7 @@
   });
 
   block('repeatable calls', ({ it }) => {
-    // An endpoint answers 500 of its own; a second one may do better, and where it does not, the
-    // caller gets the first endpoint's answer rather than one we make up.
+    // Guards against replacing an endpoint's error response by one of the router.
     it('keep the first error while a second endpoint is tried', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent);
       const answer = { head: { status: 500, headers: [] }, body: Buffer.from('sorry') };
@@ -100,8 +97,7 @@
       t.deepEqual(last, [{ kind: 'deliver_answer', ...answer }]);
     });
 
-    // An endpoint runs a stock query and its answer is lost: silence until the time limit. After
-    // three times the usual time the query goes to another endpoint, and the first is let go.
+    // Guards against waiting for a lost response until the deadline.
     it('move on when their answer was lost on the way', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent);
       send({ kind: 'start' });
@@ -122,8 +118,7 @@
   });
 
   block('streams', ({ it }) => {
-    // An engine dies in the middle of a draft. Another engine goes on after the last whole event;
-    // the caller sees one answer under the first head.
+    // Guards against repeated events and a second head after an engine fails during a stream.
     it('that may be resumed go on at the last event delivered', (t) => {
       const { send } = createHarness(CALL_KIND.ResumableStream);
       send({ kind: 'start' });
@@ -136,8 +131,7 @@
       t.deepEqual(late, []);
     });
 
-    // A data centre is cut off in the middle of a draft: its events stop coming and nothing breaks.
-    // The caller would give up; the draft goes on at an engine that can be reached.
+    // Guards against waiting for a stream whose data centre became unreachable without a reset.
     it('that may be resumed move on when they fall silent', (t) => {
       const { send } = createHarness(CALL_KIND.ResumableStream);
       send({ kind: 'start' });
@@ -149,7 +143,7 @@
       t.like(moved[1], { kind: 'attempt', lastEventId: '3' });
     });
 
-    // A stream that may not run twice loses its engine: what the caller has must not look whole.
+    // Guards against a truncated stream that looks complete to the caller.
     it('that may not be resumed end visibly broken', (t) => {
       const { send } = createHarness(CALL_KIND.Stream);
       send({ kind: 'start' });
@@ -176,8 +170,7 @@
   });
 
   block('a call that is held back', ({ it }) => {
-    // Engines are full of long prompts and this one waits here until its time is up. Nothing was
-    // sent: the caller may be told so, and when to come back.
+    // Guards against reporting a call that was never sent as one that may have run.
     it('has not run when its deadline comes', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent, 2, 10, true);
       send({ kind: 'start' });
@@ -221,7 +214,7 @@
               const isSentAgain = sent.some((command) => command.kind === 'attempt');
               const isProof =
                 step.kind === 'ended' && ['unsent', 'rejected'].includes(step.end.kind);
-              // Only the proof that the attempt under way ran nothing frees the call.
+              // A retry requires proof that the current attempt did not run.
               if (isOnce && isSentAgain && (hasBegun || !isProof)) return false;
               hasBegun = !isSentAgain && (hasBegun || step.kind === 'stream_started');
             }
--- a/src/calls/call-state-machine.ts
+++ b/src/calls/call-state-machine.ts
@@ -1,7 +1,7 @@
 /**
- * The life of one routed call, free of I/O: which attempt may follow which, what of an answer may be
- * delivered, and what a caller is told at the end. "Not run" is only said where no endpoint can have
- * run the call.
+ * State machine of one routed call, without I/O. Decides when an attempt may be repeated, which parts of
+ * a response are delivered and how the call ends. Reports `NotRun` only if no endpoint can have run the
+ * call.
  */
 import { CALL_KIND } from '../types/traffic.js';
 import type { CallKind } from '../types/traffic.js';
@@ -16,32 +16,30 @@
   CancelReason,
 } from './call-messages.js';
 
-/** A caller turned away because the endpoints are full comes back after this long, in milliseconds. */
 const OVERLOADED_RETRY_MS = 500;
 const SERVER_ERROR_MIN = 500;
-/** Connections that fail before a byte is sent are tried anew at other endpoints this often. */
+/** Attempts that fail before a byte is sent do not count towards `attemptsMax`, but towards this limit. */
 const UNSENT_ATTEMPTS_MAX = 3;
 
-/** What a call's life depends on. */
 export interface CallStateMachineOptions {
   readonly kind: CallKind;
   readonly attemptsMax: number;
   readonly deadlineMs: number;
-  /** Last event of an earlier answer, where the caller itself resumes. */
+  /** Last event that the caller received, if it resumes an earlier stream. */
   readonly lastEventId: string | undefined;
-  /** An attempt without its first answer is given up after this long, in milliseconds, if another may follow. */
+  /** An attempt without a response is cancelled after this time if the call may be retried. */
   readonly firstResponseTimeoutMs: number;
-  /** The same for a stream that began and then fell silent. */
+  /** The same for a stream without a new event. */
   readonly streamIdleTimeoutMs: number;
-  /** Spends one second try of the shared budget. */
+  /** Takes one retry from the shared budget; false if it is exhausted. */
   readonly takeRetry: () => boolean;
 }
 
-/** The life of one call. */
+/** State machine of one call. */
 export interface CallStateMachine {
   handle(message: CallMessage, nowMs: number): CallCommand[];
   isEnded(): boolean;
-  /** Attempts that were sent. */
+  /** Number of attempts that were sent. */
   countAttempts(): number;
 }
 
@@ -50,25 +48,24 @@
   readonly body: Buffer;
 }
 
-/** Builds the life of a call that has not started. */
 export function createCallStateMachine(options: CallStateMachineOptions): CallStateMachine {
   const { kind, attemptsMax, deadlineMs } = options;
   const isRepeatable = kind === CALL_KIND.Idempotent || kind === CALL_KIND.ResumableStream;
   let attempt = 0;
   let sentAttempts = 0;
   let unsentAttempts = 0;
-  /** An attempt was asked for and has not ended. */
+  /** An attempt was requested and has not ended. */
   let isAttemptPending = false;
   let isDispatched = false;
-  /** When the attempt under way began, or was last heard of. */
+  /** When the current attempt was sent or last received data. */
   let lastActivityMs = 0;
   let mayHaveRun = false;
   let isHeadDelivered = false;
-  /** The attempt under way has begun to answer: nothing proves any more that it ran nothing. */
+  /** The endpoint of the current attempt has started to respond, so it may have run the call. */
   let hasResponseStarted = false;
   let isEnded = false;
   let { lastEventId } = options;
-  /** An endpoint's own error, kept while a second endpoint is tried. */
+  /** Error response of an endpoint, delivered if the retry fails. */
   let endpointError: EndpointResponse | undefined;
   let commands: CallCommand[] = [];
 
@@ -101,13 +98,13 @@
     commands.push({ kind: 'attempt', attempt, lastEventId });
   }
 
-  /** Ends a call that no endpoint answered and that may not be sent again. */
+  /** Ends a call without a response that may not be retried. */
   function closeUnanswered(message: string): void {
     if (mayHaveRun) closeWithFailure(FAILURE.EndpointFailed, message);
     else closeWithFailure(FAILURE.Overloaded, message, OVERLOADED_RETRY_MS);
   }
 
-  /** Sends the call to another endpoint if that is allowed, else ends it. */
+  /** Retries the call at another endpoint if that is allowed, else ends it. */
   function handleFailedAttempt(isKnownNotRun: boolean, message: string, nowMs: number): void {
     const isAllowed = (isKnownNotRun || isRepeatable) && sentAttempts < attemptsMax;
     if (isAllowed && options.takeRetry()) startAttempt(nowMs);
@@ -126,7 +123,7 @@
     mayHaveRun = true;
     const isError = response.head.status >= SERVER_ERROR_MIN;
     if (isHeadDelivered) {
-      // A continuation was refused; the first answer stays without its end.
+      // The endpoint did not resume the stream, so the response already delivered stays incomplete.
       closeWithFailure(FAILURE.EndpointFailed, 'the endpoint refused to continue the answer');
       return;
     }
@@ -178,7 +175,7 @@
   function handleStreamStart(head: AnswerHead): void {
     mayHaveRun = true;
     hasResponseStarted = true;
-    // Later endpoints continue the answer under the head of the first.
+    // A resumed stream continues under the head of the first response.
     if (isHeadDelivered) return;
     isHeadDelivered = true;
     commands.push({ kind: 'deliver_head', head });
@@ -191,7 +188,7 @@
   }
 
   function handleDeadline(): void {
-    // What is under way may have run, or may yet run until its endpoint hears of the end.
+    // The endpoint may have run the call, or may still run it until it learns of the cancellation.
     if (isAttemptPending && isDispatched) mayHaveRun = true;
     cancelAttempt('deadline');
     if (mayHaveRun) {
@@ -204,10 +201,7 @@
     }
   }
 
-  /**
-   * Guards against answers that were lost on the way and connections gone silent: both show as
-   * silence after the call was sent, or in the middle of a stream.
-   */
+  /** Guards against lost responses and connections that fail without being closed. */
   function checkStall(nowMs: number): void {
     const timeoutMs = hasResponseStarted
       ? options.streamIdleTimeoutMs
@@ -222,7 +216,7 @@
 
   function handleCallerDisconnect(): void {
     isEnded = true;
-    // What may not be repeated is seen through: stopping it halfway helps nobody.
+    // A call that may not be repeated runs to its end, since cancelling it could leave it half done.
     if (kind === CALL_KIND.NonIdempotent) return;
     cancelAttempt('caller left');
   }
--- a/src/calls/connection-limit.ts
+++ b/src/calls/connection-limit.ts
@@ -1,12 +1,12 @@
-/** How many connections to one endpoint an instance may have. */
+/** Limits the connections of an instance to one endpoint. */
 import type { TrafficPool } from '../types/traffic.js';
 
-/** Where the pool states no bound. */
+/** Limit if the pool is unknown. */
 const DEFAULT_CONNECTIONS_MAX = 64;
-/** Part of an endpoint's connections that all instances take together: some have more than their share. */
+/** Fraction of an endpoint's connections that is divided among the instances; the rest is a reserve. */
 const FLEET_CONNECTIONS_FRACTION = 0.8;
 
-/** The most connections to one endpoint of a pool. */
+/** Returns the largest number of connections to one endpoint of a pool. */
 export function computeConnectionsMax(pool: TrafficPool | undefined, instances: number): number {
   if (pool === undefined) return DEFAULT_CONNECTIONS_MAX;
   return Math.max(1, Math.floor((pool.connectionsMax * FLEET_CONNECTIONS_FRACTION) / instances));
--- a/src/calls/content-id.ts
+++ b/src/calls/content-id.ts
@@ -1,10 +1,10 @@
 /**
- * Names what a call asks for, so that it is known again when it comes anew under another id, at any
- * instance and with another key of the same organisation.
+ * Identifies the content of a call, so that a repeated request is recognised under another call id, at
+ * another instance or with another key of the same organisation.
  */
 import { createHash } from 'node:crypto';
 
-/** Names the content of a call: equal contents have equal ids on all instances. */
+/** Hash of a call's content; the same on all instances. */
 export type ContentId = string;
 
 /** What makes two calls the same request. */
@@ -18,10 +18,10 @@
   readonly body: Buffer;
 }
 
-/** Hex digits of an id: 64 bits of a cryptographic hash, so that no organisation can meet another's by trying. */
+/** 64 bits of a cryptographic hash, so that an organisation cannot find a collision with another's content. */
 const ID_DIGITS = 16;
 
-/** Names a content when somebody first asks for it: most calls are over before anybody does. */
+/** Returns a getter that computes the id on first use, since most calls never need it. */
 export function createContentIdGetter(content: CallContent): () => ContentId {
   let id: ContentId | undefined;
   return () => {
@@ -30,7 +30,7 @@
   };
 }
 
-/** Names a content. The fields before the body are joined as JSON, where none can run into the next. */
+/** Hashes a content. The fields before the body are encoded as JSON to keep their boundaries unambiguous. */
 export function hashContent(content: CallContent): ContentId {
   const { method, host, target, organisation, body } = content;
   return createHash('sha256')
--- a/src/calls/endpoint-connections.test.ts
+++ b/src/calls/endpoint-connections.test.ts
@@ -51,8 +51,7 @@
 }
 
 describe('endpoint connections', ({ it }) => {
-  // An endpoint answers without a length and its process dies in the middle: its last bytes and the
-  // reset arrive together, and the caller would see a short answer as whole.
+  // Guards against delivering a truncated response as complete when the reset arrives with its last bytes.
   it('tell a reset from the orderly end of an answer without a length', async (t) => {
     const head = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal';
     const server = await startEndpoint((socket, count) => {
@@ -81,8 +80,7 @@
     await connections.close();
   });
 
-  // An endpoint sends bytes behind a complete answer; they belong to no request. The next call must
-  // not find them on its connection.
+  // Guards against reading surplus bytes after a response as the response to the next request.
   it('do not use a connection again on which more came than one answer', async (t) => {
     const answer = (body: string): string => `HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n${body}`;
     const server = await startEndpoint((socket, count) => {
--- a/src/calls/endpoint-connections.ts
+++ b/src/calls/endpoint-connections.ts
@@ -1,20 +1,20 @@
 /**
- * Connections to endpoints by undici, one client for each connection, so that it is known on which
- * connection an exchange runs, whether it was made before the call was written, and how it ended.
+ * HTTP connections to endpoints. Each connection has its own undici client, so that the state of the
+ * connection that carries an exchange is known: whether it was established, and whether it was reset.
  */
 import { Client, buildConnector } from 'undici';
 import type { Dispatcher } from 'undici';
 import type { HeaderField } from './call-messages.js';
 
-/** A connection that is not made within this time counts as not made, in milliseconds: a hundred times a round trip between data centres. A lost opening packet is sent again after a second; another endpoint has answered by then. */
+/** Shorter than the retransmission timeout of a lost SYN: another endpoint is tried instead. */
 const CONNECT_TIMEOUT_MS = 300;
-/** How long an idle connection is kept where the endpoint names no time, in milliseconds. */
+/** Idle timeout if the endpoint sends no `Keep-Alive` timeout. */
 const DEFAULT_KEEP_ALIVE_MS = 1500;
-/** An idle connection is given up this long before the endpoint would close it, in milliseconds: a call on its way must not meet the close. */
+/** Idle connections are closed this much before the endpoint would, to avoid sending into a closing connection. */
 const KEEP_ALIVE_MARGIN_MS = 1000;
 const INFORMATIONAL_STATUS_MAX = 199;
 
-/** One exchange with an endpoint. */
+/** Request to an endpoint. */
 export interface EndpointRequest {
   readonly method: string;
   readonly target: string;
@@ -22,16 +22,16 @@
   readonly body: Buffer;
 }
 
-/** What an exchange reports; `false` closes its connection and ends the reports. */
+/** Receives the response; returning `false` closes the connection and ends the notifications. */
 export interface ExchangeListener {
   onHead(status: number, headers: readonly HeaderField[]): boolean;
   onData(bytes: Buffer): boolean;
   onEnd(): void;
-  /** `isSent`: bytes of the call may have reached the endpoint. */
+  /** `isSent`: bytes of the request may have reached the endpoint. */
   onError(isSent: boolean, reason: string): void;
 }
 
-/** Connections of one instance to all endpoints. */
+/** Connections of this instance to all endpoints. */
 export interface EndpointConnections {
   /** Starts an exchange; the returned function closes its connection. */
   open(
@@ -40,9 +40,9 @@
     request: EndpointRequest,
     listener: ExchangeListener,
   ): () => void;
-  /** Closes every connection to an address; exchanges under way there break off. */
+  /** Closes every connection to an address and aborts its exchanges. */
   closeAll(address: string): void;
-  /** Connections made since the start. */
+  /** Number of connections opened since the start. */
   countMade(): number;
   close(): Promise<void>;
 }
@@ -52,7 +52,7 @@
   readonly address: string;
   wasConnected: boolean;
   isBusy: boolean;
-  /** The endpoint reset the connection, or it failed otherwise than by an orderly end. */
+  /** The connection was reset or failed otherwise than by a FIN. */
   wasReset: boolean;
 }
 
@@ -66,7 +66,7 @@
   return fields;
 }
 
-/** Builds connections; none is made before it is needed. */
+/** Creates a pool that opens connections on demand. */
 export function createEndpointConnections(): EndpointConnections {
   const connectionsByAddress = new Map<string, Set<Connection>>();
   const connector = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
@@ -83,17 +83,16 @@
     const connection: Connection = {
       client: new Client(`http://${address}`, {
         pipelining: 1,
-        // Silence is judged by the call's life, not by a fixed time here.
+        // The call state machine detects stalled responses.
         headersTimeout: 0,
         bodyTimeout: 0,
         keepAliveTimeout: DEFAULT_KEEP_ALIVE_MS,
         keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
         connect: (options, callback) => {
           connector(options, (error, socket) => {
-            // Guards against taking a reset for the end of an answer without a length. It shows as a
-            // short answer that looks whole: libuv reports a reset that arrives with the last bytes as
-            // an orderly end. By then the socket has no peer any more, which an orderly end leaves it.
-            // It is looked at before undici sees the end, since the listener is added first.
+            // Guards against a truncated response without a length that looks complete: libuv reports a
+            // reset that arrives with the last bytes as `end`. After a reset the socket has no remote
+            // address. This listener is added first, so it runs before undici handles the end.
             socket?.on('end', () => {
               connection.wasReset ||= socket.remoteAddress === undefined;
             });
@@ -121,7 +120,7 @@
     return connection;
   }
 
-  /** The connection used last, so that the others run into their idle time. */
+  /** Returns the most recently added idle connection, so that the others reach their idle timeout. */
   function findIdleConnection(address: string): Connection | undefined {
     return [...(connectionsByAddress.get(address) ?? [])].findLast(({ isBusy }) => !isBusy);
   }
--- a/src/calls/endpoint-protocol.ts
+++ b/src/calls/endpoint-protocol.ts
@@ -1,18 +1,18 @@
-/** How endpoints are spoken to; a deployment's interface brings its own. */
+/** HTTP protocol of the endpoints, implemented by each deployment. */
 import type { DecodedHead } from './attempt-reader.js';
 import type { HeaderField, RoutedCall } from './call-messages.js';
 import type { EndpointRequest } from './endpoint-connections.js';
 
-/** Headers and bodies of exchanges with endpoints. */
+/** Encodes requests to endpoints and decodes the heads of their responses. */
 export interface EndpointProtocol {
   encode(call: RoutedCall, attempt: EncodedAttempt): EndpointRequest;
   decode(status: number, headers: readonly HeaderField[]): DecodedHead;
 }
 
-/** What differs from attempt to attempt. */
+/** Values that differ between attempts. */
 export interface EncodedAttempt {
   readonly endpointId: string;
-  /** Time the endpoint may take, in milliseconds. */
+  /** Time left until the deadline of the call. */
   readonly remainingMs: number;
   readonly lastEventId: string | undefined;
 }
--- a/src/calls/event-splitter.test.ts
+++ b/src/calls/event-splitter.test.ts
@@ -4,8 +4,7 @@
 import { createEventSplitter } from './event-splitter.js';
 
 describe('event splitter', ({ it }) => {
-  // An engine stops in the middle of an event. Passing the half on would join it to the
-  // continuation's first event, and the caller would read a text nobody wrote.
+  // Guards against joining a partial event to the first event of a resumed stream.
   it('gives only whole events, byte for byte, however the stream is cut', (t) => {
     const stream = Buffer.from(
       'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nweights: 3\nid:3\ndata: c\n\n',
--- a/src/calls/event-splitter.ts
+++ b/src/calls/event-splitter.ts
@@ -1,7 +1,6 @@
 /**
- * Cuts a stream of server-sent events at event boundaries, byte for byte. Only whole events come
- * out: what an endpoint left unfinished is dropped, or a continuation would be joined to half an
- * event.
+ * Splits a stream of server-sent events at event boundaries without changing any byte. Returns only
+ * complete events, so that a resumed stream is never joined to a partial event.
  */
 import { EVENT_BYTES_MAX } from './response-limits.js';
 
@@ -9,21 +8,20 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_LINE = /(?:^|\n)id:[ ]?([^\r\n]*)/;
 
-/** One whole event, its closing blank line included. */
+/** One complete event, including its closing blank line. */
 export interface StreamEvent {
   readonly id: string | undefined;
   readonly bytes: Buffer;
 }
 
-/** A splitter for one stream. */
+/** Splitter of one stream. */
 export interface EventSplitter {
-  /** Events completed by these bytes; undefined where an event grew beyond all bounds. */
+  /** Returns the events completed by these bytes; undefined if an event exceeds `EVENT_BYTES_MAX`. */
   add(bytes: Buffer): StreamEvent[] | undefined;
-  /** Whether bytes of an unfinished event are left. */
   hasPartialEvent(): boolean;
 }
 
-/** The position behind the blank line that closes the event, or -1. */
+/** Returns the offset after the blank line that closes the event, or -1. */
 function findEventEnd(buffer: Buffer, from: number): number {
   let at = buffer.indexOf(LINE_FEED, from);
   while (at !== -1) {
@@ -34,7 +32,6 @@
   return -1;
 }
 
-/** Builds a splitter at the beginning of a stream. */
 export function createEventSplitter(): EventSplitter {
   let partialEvent: Buffer = Buffer.alloc(0);
   return {
--- a/src/calls/response-limits.ts
+++ b/src/calls/response-limits.ts
@@ -1,6 +1,6 @@
-/** Sizes beyond which what an endpoint sends is no answer but a fault. */
+/** Limits beyond which a response of an endpoint counts as invalid. */
 
-/** Bytes of one event: the largest that are declared are under a kilobyte. */
+/** Size of one server-sent event. */
 export const EVENT_BYTES_MAX = 256 * 1024;
-/** Bytes of an answer that is no stream: four times the largest body a caller may send. */
+/** Size of a response body that is not a stream. */
 export const RESPONSE_BYTES_MAX = 16 * 1024 * 1024;
--- a/src/calls/streams-beside-prompts.test.ts
+++ b/src/calls/streams-beside-prompts.test.ts
@@ -1,4 +1,4 @@
-/** A play of urgent streams beside long prompts, at engines that are far from full. */
+/** Simulates urgent streams that share engines with long prompts, well below the engines' capacity. */
 import { describe } from '../test/describe.js';
 import { runPlay } from '../test/fleet-play.js';
 import type { PlayedCall } from '../test/fleet-play.js';
@@ -11,7 +11,7 @@
   lookupGapMs: 110,
   sharedParts: 10 * ENGINES,
 });
-/** Part of the calls of each route that must be in time: the engines have room for all of them. */
+/** Fraction of the calls of each route that must meet its targets. */
 const IN_TIME_FRACTION_MIN = 0.9;
 
 function computeInTimeFraction(calls: readonly PlayedCall[], name: string): number {
@@ -20,10 +20,8 @@
 }
 
 describe('urgent streams beside long prompts', ({ it }) => {
-  // A clerk's lookup begins at once, and then one of its words hangs a moment too long. Its engine is a
-  // third full, but reads a history: five pieces of it in a row, one after each token of the lookup's
-  // next event. Proved by the record of a day at 82 engines: 108 of 313 lookups had a pause of 152 to
-  // 207 ms where 150 were declared; the histories meanwhile were held back to spare the lookups.
+  // Guards against pauses in a stream beyond its target while its engine reads a long prompt in chunks,
+  // and against delaying long prompts to avoid them.
   it('are in time, and so are the long prompts', async (t) => {
     const calls = await runPlay({
       seed: 1,
--- a/src/calls/streams-in-overload.test.ts
+++ b/src/calls/streams-in-overload.test.ts
@@ -1,6 +1,4 @@
-/**
- * Plays of overload: more prompts come for some seconds than the engines can read and answer.
- */
+/** Simulates overload: for some seconds more prompts arrive than the engines can process. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
 import { runPlay } from '../test/fleet-play.js';
@@ -49,7 +47,7 @@
 
 const WINDOW_MS = 5000;
 
-/** The largest part of lookups of any five seconds that got no whole answer. */
+/** Returns the largest fraction of lookups in any window that got no complete response. */
 function computeMaxLossFraction(calls: readonly PlayedCall[], lengthMs: number): number {
   let worst = 0;
   for (let fromMs = 0; fromMs + WINDOW_MS <= lengthMs; fromMs += 1000) {
@@ -75,10 +73,10 @@
 }
 
 const SEEDS = [1, 2, 3];
-/** Part of the urgent calls of five seconds that may get nothing while less urgent ones begin. */
+/** Largest fraction of the urgent calls in a window that may fail. */
 const LOSS_FRACTION_MAX = 1 / 12;
 
-/** Plays every seed and checks that no five seconds lost too many lookups. */
+/** Runs every seed and checks that no window loses too many lookups. */
 async function checkLookups(
   t: ExecutionContext,
   options: Omit<PlayOptions, 'seed'>,
@@ -94,11 +92,8 @@
 }
 
 describe('urgent streams in overload', ({ it }) => {
-  // A clerk's lookup begins to answer at once, then crawls; at ten seconds the clerk leaves without the
-  // end. Traffic had tripled for some seconds. Every history that came was sent to an engine, up to 130
-  // at one, and each of its steps read a piece of one and gave a token to all of them: 46 ms a step
-  // where 5 are usual, 170 steps to a lookup. Proved by the record of a played day: lookups first
-  // answered after 0.1 to 0.4 s, left after 8.9 to 9.6 s, with longest pauses of 223 to 284 ms.
+  // Guards against sending so many long prompts to an engine that urgent streams on it slow down until
+  // their callers time out.
   it('end in their time beside a burst of long prompts', (t) =>
     checkLookups(t, {
       engines: 3,
@@ -109,11 +104,8 @@
       lengthMs: 20_000,
     }));
 
-  // Lookups are left unanswered for two seconds or turned away by full engines, and histories begin.
-  // Engines of few slots had been short of capacity for seconds. Histories held back were let in
-  // once they had waited 0.4 of their time, however full the engine was, and so filled its queue.
-  // Proved by a grown day: calls were sent to engines of 16 slots at 20 to 46 calls known to be under
-  // way, after waits of 2.8 to 4 s in one of ten; 577 of 4,000 lookups were turned away by full engines.
+  // Guards against admitting long prompts to full engines just because they waited long, which fills
+  // the queues of the engines and rejects urgent calls.
   it('are not kept out by calls that waited long', (t) =>
     checkLookups(t, {
       engines: 6,
--- a/src/gateway/admit-call.ts
+++ b/src/gateway/admit-call.ts
@@ -1,4 +1,4 @@
-/** Checks what a caller asks for against the configuration in hand, and makes a routed call of it. */
+/** Validates a request against the current configuration and resolves it to a routed call. */
 import { createContentIdGetter } from '../calls/content-id.js';
 import type { CallPayload, PromptShape, RoutedCall } from '../calls/call-messages.js';
 import { choosePool } from '../routes/route-table.js';
@@ -8,19 +8,18 @@
 import { Err, Ok } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
 
-/** An instance without knowledge asks callers to come back after this long, in milliseconds: a reconnect takes less. */
 const NOT_READY_RETRY_MS = 500;
-/** A caller of an instance that leaves comes back after this long, in milliseconds: a new connection leads to another instance, which serves it at once. */
+/** Short, since a new connection leads to another instance. */
 const LEAVING_RETRY_MS = 50;
 
-/** What a caller sent, as far as the product needs to understand it. */
+/** Request of a caller, decoded by the deployment's HTTP interface. */
 export interface CallerRequest {
   readonly callId: string | undefined;
   readonly host: string;
   /** Path without query. */
   readonly path: string;
   readonly key: string | undefined;
-  /** How long the caller will wait, in milliseconds; undefined where it does not say. */
+  /** Timeout set by the caller, if any. */
   readonly waitsMs: number | undefined;
   readonly lastEventId: string | undefined;
   readonly prompt: PromptShape | undefined;
@@ -28,12 +27,11 @@
   readonly receivedMs: number;
 }
 
-/** What is known when a call comes in. */
 export interface AdmissionContext {
   readonly table: RouteTable | undefined;
-  /** Whether the table is surely recent enough to say that something does not exist. */
+  /** Whether the table is recent enough to conclude that a route or key does not exist. */
   readonly isRecent: boolean;
-  /** Whether keys in the table are surely still valid. */
+  /** Whether the table is recent enough to conclude that its keys have not been revoked. */
   readonly areKeysValid: boolean;
 }
 
@@ -46,12 +44,12 @@
   return { type, message, outcome: OUTCOME.NotRun, ...retry };
 }
 
-/** The refusal of an instance whose knowledge is missing or too old for this call. */
+/** Failure of an instance whose configuration is missing or too old for the call. */
 export function createNotReadyFailure(message: string): RequestFailure {
   return createNotRunFailure(FAILURE.NotReady, message, NOT_READY_RETRY_MS);
 }
 
-/** The refusal of an instance that could not finish the call before it ends. */
+/** Failure of an instance that is shutting down. */
 export function createLeavingFailure(): RequestFailure {
   return createNotRunFailure(
     FAILURE.NotReady,
@@ -60,7 +58,6 @@
   );
 }
 
-/** Makes a call of a request, or says why not. */
 export function resolveCall(
   request: CallerRequest,
   context: AdmissionContext,
@@ -77,7 +74,7 @@
   }
   const route = table.findRoute(request.host, request.path);
   if (route === undefined) {
-    // A route that is missing in old knowledge may have been added since.
+    // The route may have been added after the last known configuration.
     if (!context.isRecent) {
       return Err(
         createNotReadyFailure('this instance cannot tell whether the route exists; try another'),
--- a/src/gateway/call-quarantine.ts
+++ b/src/gateway/call-quarantine.ts
@@ -1,4 +1,4 @@
-/** The quarantine of a gateway, with the rows by which condemned contents outlast all instances. */
+/** The quarantine of a gateway; stores condemned contents at the source so that they survive restarts of the fleet. */
 import type { DecisionLog } from '../observability/decision-log.js';
 import type { CaseChange, ToldCase } from '../quarantine/case-ledger.js';
 import { CASE_STATE, createCaseRows } from '../quarantine/case-rows.js';
@@ -11,28 +11,25 @@
 import type { TimerService } from '../runtime/timer-service.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 
-/** What it is built on. */
 export interface CallQuarantineOptions {
   readonly timers: TimerService;
   readonly log: DecisionLog;
   readonly observer: QuarantineObserver;
   readonly caseStore: CaseStore;
-  /** Tries a connection of its own to an endpoint; never rejects. */
+  /** Opens a separate connection to an endpoint as a probe; never rejects. */
   readonly checkAcceptance: (address: string) => Promise<Acceptance>;
   readonly findEndpoint: (id: string) => RegisteredEndpoint | undefined;
 }
 
-/** The quarantine and its rows. */
 export interface CallQuarantine {
   readonly quarantine: Quarantine;
-  /** Whether this instance follows the source: then it reads the rows. */
+  /** Starts or stops reading the stored rows, which only instances that watch the source do. */
   setReading(isReading: boolean): void;
   listCases(): readonly CrashCase[];
-  /** An operator releases a content on all instances; false where nothing is known of it. */
+  /** Releases a content on all instances on behalf of an operator; false if the content is unknown. */
   releaseCase(content: string, who: string, reason: string): boolean;
 }
 
-/** Builds a quarantine that holds nothing. */
 export function createCallQuarantine(options: CallQuarantineOptions): CallQuarantine {
   const { timers, log, observer, caseStore } = options;
   const rows = createCaseRows({
@@ -41,7 +38,7 @@
     onTold: (told: ToldCase) => quarantine.merge([told], 'source'),
   });
 
-  /** Only who found out writes: all others learn of it within the second. */
+  /** Called only for changes found by this instance, so that each is written once. */
   function storeOwnStanding({ subject: crashCase, before: previous, standing }: CaseChange): void {
     if (standing === previous) return;
     if (standing === STANDING.Condemned) rows.add(crashCase, CASE_STATE.Condemned, '', '');
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -1,4 +1,4 @@
-/** A gateway's part in the work that one instance does for the fleet. */
+/** Connects a gateway to the duties that one instance performs for the whole fleet. */
 import type { RoutedCall } from '../calls/call-messages.js';
 import type { EndpointDirectory } from '../directory/endpoint-directory.js';
 import type { DutyCalls } from '../duties/duty-calls.js';
@@ -20,13 +20,13 @@
 
 const TICK_MS = 100;
 
-/** What a deployment asks of its instances together. */
+/** Duties of a deployment. */
 export interface DutyOptions {
-  /** How long a holder's lease is, in milliseconds. */
+  /** Duration of the lease under which one instance holds the duties. */
   readonly leaseMs: number;
-  /** The whole fleet starts for the first time. */
+  /** Whether the fleet starts for the first time. */
   readonly isFirstStart: boolean;
-  /** The length of a window of usage and the time after its end at which its report is due, in milliseconds; undefined where nobody wants reports. */
+  /** Length of a usage window and time after its end at which its report is due; undefined if usage is not reported. */
   readonly usage: { readonly windowMs: number; readonly dueMs: number } | undefined;
   readonly ordersPools: boolean;
   readonly store: DutyStore;
@@ -34,7 +34,6 @@
   readonly observer: DutyObserver;
 }
 
-/** What a gateway's part is built on. */
 export interface GatewayDutiesOptions {
   readonly duties: DutyOptions;
   readonly self: string;
@@ -53,14 +52,13 @@
   readonly isLeaving: () => boolean;
 }
 
-/** A gateway's part. */
 export interface GatewayDuties extends FleetDuties {
-  /** An endpoint began a call. */
+  /** Records that an endpoint started a call. */
   recordStarted(call: RoutedCall, startedMs: number): void;
   handleUsage(usage: UsageTelling): void;
 }
 
-/** The same feed; every answer tells what the source's clock shows. */
+/** Wraps a feed and records the source's clock from every answer. */
 export function createTimedFeed(
   feed: FeedReader,
   time: TrueTime,
@@ -77,7 +75,6 @@
   };
 }
 
-/** Starts a gateway's part. */
 export function createGatewayDuties(options: GatewayDutiesOptions): GatewayDuties {
   const { duties, timers, time, loads, directory, peers } = options;
   const getNow = (): number => timers.clock.monotonicMs();
@@ -100,7 +97,7 @@
     return [...present].map(([dataCentre, counts]) => ({ dataCentre, ...counts }));
   }
 
-  /** How long a prompt would wait for those before it, if all engines had the same to read. */
+  /** Estimates the queueing time of a prompt, with the unread tokens spread evenly over the engines. */
   function computeBacklogMs(pool: string): number {
     const openEndpoints = directory
       .listAll()
@@ -155,7 +152,7 @@
 
   let knownCandidates: ReadonlySet<string> = new Set();
 
-  /** Tells who keeps counts from now on what the others were told before. */
+  /** Makes the meter send all counts again when a new duty candidate appears. */
   function updateCandidates(): void {
     const names = peers.listDutyCandidates();
     if (names.some((name) => !knownCandidates.has(name))) meter.addKeeper();
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,7 +1,6 @@
 /**
- * Composes a router of declared routes: knowledge of the source's tables, the calls under way, the
- * other instances and the lifecycle. It has no servers; those and the speech of a deployment's
- * interfaces come from outside.
+ * Composes a router from the source's tables, the running calls, the exchange with other instances and
+ * the lifecycle. The servers and the protocols of a deployment are supplied by the caller.
  */
 import type { RetryBounds } from '../attempts/shared-retry-budget.js';
 import type { CallSink, RoutedCall } from '../calls/call-messages.js';
@@ -53,17 +52,19 @@
 import { createPeerExchange } from './peer-exchange.js';
 
 const TICK_MS = 100;
-/** Keys are trusted until this long, in milliseconds, before knowledge of them would be too old. */
+/** Safety margin subtracted from the maximum age of keys. */
 const KEY_AGE_MARGIN_MS = 500;
-/** Part of the allowed age of keys at which an instance stops being ready, so that callers come elsewhere before it must refuse them. */
+/** Fraction of the maximum age of keys at which readiness is withdrawn, before calls have to be refused. */
 const READY_KEY_AGE_FRACTION = 0.6;
-/** Knowledge older than this, in milliseconds, cannot say that a route or key does not exist, and peers are asked: a confirmation is due every wait, and takes some hundred to be told everywhere. */
+/**
+ * Knowledge older than this cannot prove that a route or key does not exist, and is fetched from peers.
+ * The margin covers the spread of a confirmation to all instances.
+ */
 const RECENT_KNOWLEDGE_MAX_MS = LEADING_WATCH_WAIT_MS + 700;
 
-/** What a gateway is built on. */
 export interface GatewayOptions {
   readonly self: Contact;
-  /** Higher than any earlier start under the same name: the wall clock at start. */
+  /** Wall clock at the start; higher than that of any earlier start under the same name. */
   readonly incarnation: number;
   readonly seeds: readonly string[];
   readonly timers: TimerService;
@@ -77,34 +78,32 @@
   readonly endpointFeed: FeedReader;
   readonly decoder: RowDecoder;
   readonly connections: EndpointConnections;
-  /** Whether somebody accepts connections at an endpoint's address. */
+  /** Checks whether connections to an endpoint's address are accepted. */
   readonly checkAcceptance: (address: string) => Promise<Acceptance>;
   readonly protocol: EndpointProtocol;
   readonly observer: CallObserver;
   readonly quarantineObserver: QuarantineObserver;
-  /** Where condemned contents outlast all instances. */
+  /** Persistent store of condemned contents. */
   readonly caseStore: CaseStore;
   readonly retryBounds: RetryBounds;
-  /** The work that one instance does for the fleet; undefined where the platform asks for none. */
+  /** Duties that one instance performs for the fleet; undefined if the deployment has none. */
   readonly duties: DutyOptions | undefined;
-  /** How old knowledge of keys may be when a call is sent, in milliseconds. */
+  /** Maximum age of the knowledge of keys when a call is sent. */
   readonly keyAgeMaxMs: number;
-  /** Longest wait for calls in flight when leaving, in milliseconds. */
+  /** Maximum wait for running calls when leaving. */
   readonly drainTimeoutMs: number;
-  /** How long callers that still come are served after this instance began to leave, in milliseconds. */
+  /** Time for which new calls are still accepted after this instance starts to leave. */
   readonly drainNoticeMs: number;
   readonly onConfiguration: (configuration: TrafficConfiguration) => void;
   readonly onStopAccepting: () => void;
   readonly onDrained: () => void;
 }
 
-/** How old what is known is. */
 export interface KnowledgeState {
   readonly configurationVersion: number;
   readonly ageMs: number;
 }
 
-/** A running gateway. */
 export interface Gateway {
   resolve(request: CallerRequest): Result<RoutedCall, RequestFailure>;
   run(call: RoutedCall, sink: CallSink): RunningCall;
@@ -117,24 +116,24 @@
   handleCases(from: string, cases: readonly ToldCase[]): void;
   handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
   handleUsage(usage: UsageTelling): void;
-  /** Undefined where there are no duties. */
+  /** Undefined if the deployment has no duties. */
   getDutyStatus(): DutyStatus | undefined;
-  /** This instance leaves the duties to others for a while; false where it does not hold them. */
+  /** Temporarily hands the duties over to other instances; false if this instance does not hold them. */
   releaseDuties(): boolean;
   recordUnreachable(address: string): void;
   buildKnowledge(request: FetchKnowledgeRequest): FetchKnowledgeResponse;
-  /** The name of an endpoint's start, where it is still registered. */
+  /** Returns the name of an endpoint by the key of its start, if it is still registered. */
   findEndpointName(start: EndpointKey): string | undefined;
-  /** What speaks against which contents. */
+  /** Lists the contents that are linked to endpoint crashes. */
   listCases(): readonly CrashCase[];
-  /** An operator releases a content on all instances; false where nothing is known of it. */
+  /** Releases a content on all instances on behalf of an operator; false if the content is unknown. */
   releaseCase(content: string, who: string, reason: string): boolean;
   countInstances(): number;
   countCalls(): number;
   stop(): void;
 }
 
-/** Builds a gateway; it starts looking for others and for knowledge at once. */
+/** Creates a gateway, which immediately starts to contact other instances and the source. */
 export function createGateway(options: GatewayOptions): Gateway {
   const { timers, log, random } = options;
   const loads = createEndpointLoads();
@@ -172,7 +171,7 @@
     findEndpoint: (id) => knowledge.directory.find(id),
   });
 
-  /** Closes what the earlier start left open, unless another endpoint has its address by now. */
+  /** Closes connections to the previous start, unless another endpoint now has its address. */
   function closeConnectionsTo({ id, address }: RegisteredEndpoint): void {
     const isAddressReused = knowledge.directory
       .listAll()
@@ -248,7 +247,7 @@
     quarantine,
     onBegun: (call, startedMs) => duties?.recordStarted(call, startedMs),
     checkSendable(call) {
-      // Checked right before each send: a call that waited may have outlived its key.
+      // Checked right before each send, since the key may have been revoked while the call waited.
       if (!call.isKeyed || areKeysValid()) return undefined;
       return createNotReadyFailure('this instance cannot tell whether the key is still valid');
     },
@@ -271,7 +270,7 @@
         peers.left();
         break;
       case 'stop':
-        // A moment for the last message to peers, then everything closes.
+        // Leaves time for the last message to peers.
         timers.subscribeOnce(TICK_MS, options.onDrained);
         break;
       default:
@@ -290,8 +289,8 @@
 
   return {
     resolve(request) {
-      // Guards against taking what cannot be finished any more: it shows as a call cut off when the
-      // process ends. Callers keep using open connections until then.
+      // Guards against accepting calls that would be cut off at the end of the process, since callers
+      // reuse open connections until then.
       if (!drain.isAccepting()) return Err(createLeavingFailure());
       const ageMs = knowledge.computeAge();
       return resolveCall(request, {
--- a/src/gateway/knowledge-fetcher.ts
+++ b/src/gateway/knowledge-fetcher.ts
@@ -1,22 +1,17 @@
-/** Asks other instances for what they know of the source's tables. */
+/** Fetches other instances' copies of the source's tables. */
 import type { FetchKnowledgeResponse } from '../gen/peer_pb.js';
 import type { DecisionLog } from '../observability/decision-log.js';
 import type { KnownRevisions, PeerLinks } from '../peers/peer-links.js';
 import type { TimerService } from '../runtime/timer-service.js';
 
-/**
- * News is asked for no more often than this, in milliseconds: a fleet's endpoints register one after the
- * other, and at a start each instance would ask for each of them, 24 times in five seconds.
- */
+/** Minimum interval between fetches on updates, so that endpoints which register one by one cause few fetches. */
 const UPDATE_FETCH_INTERVAL_MS = 200;
 
-/** Somebody to ask. */
 export interface KnowledgePeer {
   readonly name: string;
   readonly address: string;
 }
 
-/** What the questions are built on. */
 export interface KnowledgeFetcherOptions {
   readonly timers: TimerService;
   readonly log: DecisionLog;
@@ -26,15 +21,13 @@
   readonly onKnowledge: (peer: string, response: FetchKnowledgeResponse, sentMs: number) => void;
 }
 
-/** Questions of one instance. */
 export interface KnowledgeFetcher {
-  /** Asks a peer; one that is being asked is not asked again meanwhile. */
+  /** Fetches from a peer, unless a fetch from it is pending. */
   startFetch(peer: KnowledgePeer): void;
-  /** Asks a peer that told of something new, unless the last such question was a moment ago: what is new is told again. */
+  /** Fetches from a peer that announced an update. Rate limited, since peers repeat their announcements. */
   startUpdateFetch(peer: KnowledgePeer): void;
 }
 
-/** Builds questions that were not asked. */
 export function createKnowledgeFetcher(options: KnowledgeFetcherOptions): KnowledgeFetcher {
   const { timers, log, links } = options;
   const pendingAddresses = new Set<string>();
--- a/src/gateway/knowledge-keeper.test.ts
+++ b/src/gateway/knowledge-keeper.test.ts
@@ -9,7 +9,7 @@
 import type { KnowledgeStore, RowDecoder } from './knowledge-keeper.js';
 
 const NEVER = new Promise<FeedAnswer>(() => {
-  // The source has nothing new.
+  // Never resolves.
 });
 
 const WATCH: WatchDuty = {
@@ -44,7 +44,7 @@
   },
 };
 
-/** A table whose watches wait until a test changes it. */
+/** A table whose watches wait until the test changes its rows. */
 function createTable(rows: readonly FeedRow[]) {
   let revision = 5;
   let calls = 0;
@@ -140,9 +140,7 @@
 }
 
 describe('knowledge keeper', ({ it }) => {
-  // An instance starts seconds after a key was taken away, while the store's lists are read from a
-  // copy that lags behind. The key still stands in its list. Were the list taken for the newest,
-  // calls with that key would pass.
+  // Guards against accepting a revoked key that is still present in a stale list.
   it('does not take a list for the newest before a watch has answered', async (t) => {
     const harness = createHarness();
     harness.configuration.setWatchAnswered(false);
@@ -178,9 +176,7 @@
     watcher.stop();
   });
 
-  // An engine's entry is overwritten by some other program. Calls to what it says fail, and the engines
-  // beside it stand in the same page of changes: they must stay in use, and it must come back by its
-  // own next entry.
+  // Guards against dropping other endpoints, or the same one for good, because one entry cannot be decoded.
   it('stops using an endpoint whose entry cannot be read, and no other', async (t) => {
     const harness = createHarness();
     await waitMs(30);
@@ -197,8 +193,7 @@
     harness.stop();
   });
 
-  // A prompt is sent to an engine that says it leaves. The store was out of reach, a peer told of the
-  // leaving, and then the store's feed goes on from before it: the row of the time before is replayed.
+  // Guards against sending calls to a leaving endpoint when the feed replays an older row of it.
   it('does not go back behind what peers told when its own feed goes on from before', async (t) => {
     const harness = createHarness();
     await waitMs(30);
@@ -234,9 +229,8 @@
     harness.stop();
   });
 
-  // The store comes back after an outage in which every entry lapsed. A peer that watches waits two
-  // seconds for engines to renew theirs; one that asks it must wait as well instead of emptying its
-  // pools, and must not wait longer.
+  // Guards against empty pools after an outage in which every entry lapsed: an instance that follows a
+  // peer must wait for renewals as long as the peer does.
   it('keeps lapsed endpoints as long as the peer it asks does', async (t) => {
     const follower = createHarness();
     await waitMs(30);
@@ -273,9 +267,7 @@
     follower.stop();
   });
 
-  // Two hundred instances live on what a handful hear of the store. A confirmation passes from hand to
-  // hand in datagrams, and one of them may lie unread in the socket of a machine that was suspended: it
-  // must not let a key in that was taken away meanwhile.
+  // Guards against accepting a revoked key because a delayed datagram counts as a fresh confirmation.
   it('takes a confirmation for as old as it is, however long it was on its way', async (t) => {
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
@@ -302,8 +294,8 @@
     watcher.stop();
   });
 
-  // The connection on which one instance watches the endpoints goes silent. Others that watch are told
-  // of a change and tell it on: waiting out its own call would send prompts to an engine that has left.
+  // Guards against sending calls to an endpoint that has left because the watch connection failed without
+  // being closed.
   it('doubts its own feed when others stay ahead of it', async (t) => {
     const harness = createHarness();
     await waitMs(30);
@@ -319,8 +311,7 @@
     harness.stop();
   });
 
-  // The watchers on which all rely go quiet. Who is to take over has a call under way that would wait
-  // for seconds more.
+  // Guards against waiting for a pending standby watch when this instance becomes a leading watcher.
   it('asks the source at once when others come to rely on it', async (t) => {
     const harness = createHarness({ ...WATCH, isLeading: false });
     await waitMs(30);
--- a/src/gateway/knowledge-keeper.ts
+++ b/src/gateway/knowledge-keeper.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps what the source's tables say in hand: follows both feeds, stands in with what peers know
- * where the source is out of reach, and distrusts everything after a suspension.
+ * Maintains this instance's knowledge: its copy of the source's configuration and endpoint tables.
+ * Watches the feeds of both tables, uses the copies of peers while the source is unreachable, and requires
+ * a new confirmation after the process was suspended.
  */
 import { createEndpointDirectory } from '../directory/endpoint-directory.js';
 import type { DirectoryMessage, EndpointDirectory } from '../directory/endpoint-directory.js';
@@ -23,22 +24,19 @@
 
 const TICK_MS = 100;
 /**
- * A call that waits for a change returns after this long, in milliseconds, and so confirms that there
- * is none. For endpoints it guards against a connection that goes silent for good while the other one
- * works: it shows as calls to an endpoint long after it said that it leaves. With the call's own
- * timeout of 0.7 s the silence is found after 2.2 s, and connections that were cut count as disturbed
- * for 3 s.
+ * Time after which a watch returns even without a change, which confirms the current revision. Also limits
+ * how long a connection that fails without being closed can hide changes of the endpoints.
  */
 export const LEADING_WATCH_WAIT_MS = 1500;
-/** The same for a watcher on whose confirmations nobody relies. */
+/** The same for a watcher whose confirmations no other instance relies on. */
 const STANDBY_WATCH_WAIT_MS = 6000;
-/** Reads rows of the source; undefined where a row was removed or says nothing the product understands. */
+
+/** Decodes rows of the source; returns undefined for a row that was removed or cannot be read. */
 export interface RowDecoder {
   decodeConfiguration(row: FeedRow): TrafficConfiguration | undefined;
   decodeEndpoint(row: FeedRow): RegisteredEndpoint | undefined;
 }
 
-/** What a keeper is built on. */
 export interface KnowledgeStoreOptions {
   readonly timers: TimerService;
   readonly random: Random;
@@ -47,31 +45,28 @@
   readonly endpointFeed: FeedReader;
   readonly decoder: RowDecoder;
   readonly onConfiguration: (configuration: TrafficConfiguration) => void;
-  /** This start of an endpoint has ended or its entry is gone; `isRestarted`: another start took its place. */
+  /** An endpoint ended or its entry was removed; `isRestarted`: a new start of it has replaced this one. */
   readonly onEndpointEnded: (endpoint: RegisteredEndpoint, isRestarted: boolean) => void;
-  /** All confirmations are in doubt: a peer or the source is to be asked at once. */
+  /** No confirmation is valid any more; knowledge must be fetched from a peer or the source at once. */
   readonly onSuspended: () => void;
 }
 
-/** Knowledge of one instance. */
 export interface KnowledgeStore {
   readonly directory: Pick<EndpointDirectory, 'listOpen' | 'find' | 'listAll'>;
   getConfiguration(): TrafficConfiguration | undefined;
-  /** Milliseconds since the configuration in hand was surely the newest. */
+  /** Returns the time since the current configuration was last confirmed as the newest. */
   computeAge(): number;
   getSummary(): KnowledgeSummary;
-  /** What a peer told of its knowledge; whether it has something that this instance should ask for. */
+  /** Applies a peer's summary; returns whether this instance should fetch knowledge from it. */
   applySummary(summary: KnowledgeSummary): boolean;
-  /** What a peer asks for. */
   buildResponse(request: FetchKnowledgeRequest): FetchKnowledgeResponse;
-  /** What a peer answered to a question sent at `sentMs`. */
+  /** Applies a peer's response to a request that was sent at `sentMs`. */
   applyResponse(peer: string, response: FetchKnowledgeResponse, sentMs: number): void;
-  /** Whether this instance follows the source itself; until told so it lives on what peers answer. */
+  /** Sets whether this instance watches the source itself; by default it relies on peers. */
   setDuty(duty: WatchDuty): void;
   stop(): void;
 }
 
-/** Builds a keeper that knows nothing. */
 export function createKnowledgeStore(options: KnowledgeStoreOptions): KnowledgeStore {
   const { timers, log, decoder } = options;
   const knowledge = createConfigurationKnowledge<TrafficConfiguration>();
@@ -86,7 +81,7 @@
   let duty: WatchDuty = { kind: 'follow' };
   const getNow = (): number => timers.clock.monotonicMs();
 
-  /** Distrusts what is known after a suspension: how long it lasted this process cannot know. */
+  /** Invalidates confirmations after a suspension, since its duration is unknown. */
   function checkSuspension(): void {
     if (!suspensionDetector.checkSuspended()) return;
     trustedSinceMs = getNow();
@@ -118,7 +113,7 @@
     isSourceLost = true;
     log.write({ event: 'source_lost', feed, reason, knowledgeAgeMs: Math.round(computeAge()) });
     applyDirectory({ kind: 'source_lost' }, 'source');
-    // One silent connection is reason to doubt the other.
+    // The connection of the other feed may have failed too.
     if (feed === 'configuration') endpointWatcher.restart();
   }
 
@@ -129,7 +124,7 @@
     applyDirectory({ kind: 'source_back' }, 'source');
   }
 
-  /** Takes rows as the newest as of `knownAtMs` on the source's clock. */
+  /** Records rows that were the newest at `knownAtMs` on the source's clock. */
   function recordConfiguration(rows: readonly FeedRow[], knownAtMs: number, source: string): void {
     for (const row of rows) {
       const configuration = decoder.decodeConfiguration(row);
@@ -144,14 +139,14 @@
 
   function handleConfigurationList(rows: readonly FeedRow[]): void {
     handleSourceAnswer('configuration');
-    // Guards against a list that is seconds behind, which shows as a removed key that still works at
-    // an instance that has just started: a list says what exists, never that nothing newer does.
+    // Guards against accepting a revoked key from a stale list: a list does not confirm that its rows are
+    // the newest.
     recordConfiguration(rows, -Infinity, 'source');
   }
 
   function handleConfigurationAnswer(rows: readonly FeedRow[], times: AnswerTimes): void {
     handleSourceAnswer('configuration');
-    // An answer asked for before a suspension says nothing of the time since.
+    // An answer to a request sent before a suspension confirms nothing.
     if (times.sentMs < trustedSinceMs) return;
     sourceClock.record(times);
     recordConfiguration(rows, times.sourceNowMs, 'source');
@@ -183,9 +178,8 @@
   }
 
   /**
-   * Guards against a feed that goes on from before what peers told while it was out of reach, which
-   * shows as an endpoint that is used again after it said that it leaves, or as the start before the
-   * present one. Up to the revision in hand everything is known.
+   * Guards against reverting to older rows when the feed resumes at a revision before the one received from
+   * peers, which would send calls to an endpoint that is leaving or to its previous start.
    */
   function isBehindPeers({ revision }: AnswerTimes): boolean {
     return revision < endpointRows.getContentRevision();
@@ -281,7 +275,7 @@
     peer: string,
   ): void {
     if (table.revision <= endpointRows.getContentRevision()) return;
-    // A table without any row is no table: its teller has just begun.
+    // A peer that has just started sends an empty table.
     if (table.isComplete && !table.hasRows) return;
     applyDirectory({ kind: 'renewing', forMs: renewalLeftMs }, peer);
     const rows = decodeRows(table.rows);
@@ -293,7 +287,7 @@
   function stopWatching(): void {
     configurationWatcher.pause();
     endpointWatcher.pause();
-    // From now on the source is as well as peers say.
+    // From now on peers report whether the source is available.
     handleSourceAnswer('peers');
   }
 
@@ -333,7 +327,7 @@
     buildResponse(request) {
       const configuration = buildConfigurationTable(request.configurationRevision);
       const endpoints = buildEndpointTable(request.endpointsRevision);
-      // A clock that stood still must not be passed on as one that knows what time it is.
+      // Guards against passing on a source time computed from a clock that stood still.
       checkSuspension();
       const sourceNowMs = sourceClock.computeSourceNow(getNow());
       return {
@@ -349,7 +343,7 @@
       if (sentMs < trustedSinceMs) return;
       if (sourceNowMs !== undefined) sourceClock.record({ sourceNowMs, sentMs });
       if (configuration !== undefined) applyConfigurationTable(configuration, peer);
-      // While the own feed answers, it is the better source.
+      // The feed of this instance takes precedence while it answers.
       const isNeeded = duty.kind === 'follow' || isSourceLost || endpointRows.getRevision() === 0;
       if (isNeeded && endpoints !== undefined) applyEndpointTable(endpoints, renewalLeftMs, peer);
     },
@@ -365,7 +359,7 @@
       }
       const wasLeading = previousDuty.kind === 'watch' && previousDuty.isLeading;
       if (nextDuty.kind === 'follow' || !nextDuty.isLeading || wasLeading) return;
-      // A call under way would wait for seconds, and a confirmation is wanted now.
+      // A pending watch would wait for seconds, but a confirmation is needed now.
       configurationWatcher.restart();
       endpointWatcher.restart();
     },
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance does with the others: membership, telling of loads and of what it knows, and asking
- * for knowledge that others have and it lacks.
+ * Communication between instances: membership, exchange of endpoint loads and usage counts, and fetches
+ * of table contents that other instances have and this one lacks.
  */
 import type { TrueTime } from '../duties/true-time.js';
 import type { UsageTelling } from '../duties/usage-meter.js';
@@ -27,15 +27,13 @@
 import { createKnowledgeFetcher } from './knowledge-fetcher.js';
 import type { KnowledgePeer } from './knowledge-fetcher.js';
 
-/** A round of membership probes, in milliseconds: nothing waits on the verdict, and each probe costs a millisecond of processor time on both sides. */
 const PROBE_PERIOD_MS = 2000;
-/** Probes are looked at this often, in milliseconds: the shortest bound on them is 200. */
+/** Interval at which the timeouts of membership probes are checked. */
 const MEMBERSHIP_TICK_MS = 100;
-/** Whether to watch is decided, and peers are asked while the own knowledge is too old, this often, in milliseconds. */
+/** Interval at which the watch duty is updated and outdated knowledge is fetched from peers. */
 const WATCH_DUTY_PERIOD_MS = 300;
 const FETCH_PEERS_COUNT = 2;
 
-/** What the exchange is built on. */
 export interface PeerExchangeOptions {
   readonly self: Contact;
   readonly incarnation: number;
@@ -54,34 +52,33 @@
     KnowledgeStore,
     'applyResponse' | 'applySummary' | 'computeAge' | 'getSummary' | 'setDuty'
   >;
-  /** Knowledge older than this is too old for some uses, in milliseconds: peers are asked. */
+  /** Knowledge older than this is fetched from peers. */
   readonly knowledgeAgeMaxMs: number;
   readonly isLeaving: () => boolean;
 }
 
-/** An instance's dealings with the others. */
 export interface PeerExchange {
   handleTold(status: PeerTelling): void;
   handleCases(from: string, cases: readonly ToldCase[]): void;
   handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
   recordUnreachable(address: string): void;
-  /** Asks others for what they know, whatever the age of the own knowledge. */
+  /** Fetches knowledge from peers, whatever the age of this instance's knowledge. */
   startKnowledgeFetches(): void;
-  /** Whether a data centre is out of reach for now. */
   isCut(dataCentre: string): boolean;
-  /** Whether this instance is one of those that keep what the fleet's duties need. */
+  /** Whether this instance may hold the fleet's duties and therefore keeps the usage counts. */
   isDutyCandidate(): boolean;
-  /** Names of the other keepers. */
+  /** Names of the other duty candidates. */
   listDutyCandidates(): readonly string[];
-  /** Tells the other keepers. */
+  /** Sends usage counts to the other duty candidates. */
   sendUsage(usage: UsageTelling): void;
-  /** Instances that share the endpoints, this one included. */
+  /** Number of instances that share the endpoints, including this one. */
   countInstances(): number;
+  /** Announces that this instance is leaving. */
   leave(): void;
+  /** Announces that this instance has left. */
   left(): void;
 }
 
-/** Starts the exchange. */
 export function createPeerExchange(options: PeerExchangeOptions): PeerExchange {
   const { self, timers, random, log, links, loads, knowledge, seeds } = options;
   const getNow = (): number => timers.clock.monotonicMs();
@@ -90,11 +87,11 @@
   const hasContacts = seeds.length > 0 && !seeds.includes(self.address);
   let isListed = false;
   let unreachableDataCentres: ReadonlySet<string> = new Set();
-  /** The other keepers. */
+  /** Duty candidates other than this instance. */
   let otherCandidates: readonly Contact[] = [];
   let isCandidate = false;
 
-  /** Full exchanges outgrow a datagram; all other gossip fits one. */
+  /** Full synchronisations exceed the size of a datagram; all other gossip fits. */
   function sendGossip(address: string, body: PeerMessage['body']): void {
     if (body.case === 'syncFacts') links.send(address, body);
     else options.datagrams.sendGossip(address, body);
@@ -108,7 +105,7 @@
     invariants: options.invariants,
     timers,
     instances: options.instances,
-    // Those that watch can be found by whoever reaches the source; everybody else by them.
+    // Only watchers are listed; other instances are found through them.
     usesList: () => isListed,
     seeds,
     isLeaving: options.isLeaving,
@@ -154,14 +151,14 @@
         knowledgeFetcher.startFetch(peer);
       return;
     }
-    // Who knows something will tell; until then the seeds are the first to know.
+    // Without any knowledge, ask the seeds.
     const contacts = seeds
       .filter((address) => address !== self.address)
       .map((address) => ({ name: address, address }));
     for (const seed of chooseRandomPeers(contacts, 1)) knowledgeFetcher.startFetch(seed);
   }
 
-  /** Looked at here rather than at each choice: it walks the whole fleet. */
+  /** Cached, since it iterates over all instances and is read for each placement. */
   function updateUnreachable(): void {
     const nowMs = getNow();
     const dataCentres = new Set(fleet.listPresent().map((fact) => fact.dataCentre));
@@ -170,7 +167,7 @@
     );
   }
 
-  /** Cases go to whom loads are told: so they reach everybody in as many steps. */
+  /** Sends quarantine cases to the recipients of the loads, so that they spread as fast. */
   function sendCases(tellings: readonly AddressedTelling[]): void {
     const addresses = [...new Set(tellings.flatMap((telling) => telling.addresses))];
     if (addresses.length === 0) return;
@@ -178,7 +175,7 @@
     if (cases.length > 0) options.datagrams.sendCases(addresses, cases);
   }
 
-  /** Keepers are those that follow the source: they reach what duties need. */
+  /** Duty candidates are the instances that watch the source, which duties depend on. */
   function updateDutyCandidates(alive: readonly Contact[]): void {
     const names = new Set(listWatchers(alive));
     otherCandidates = alive.filter(({ name }) => names.has(name) && name !== self.name);
@@ -197,7 +194,7 @@
       getNow(),
     );
     isListed = duty.kind === 'watch' && duty.isListed;
-    // Not by the list of those that are alive: who starts knows nobody and would take itself for one of few.
+    // Not derived from the live instances: a starting instance knows none and would choose itself.
     isCandidate = isListed;
     knowledge.setDuty(duty);
   }
@@ -241,7 +238,7 @@
             fleet.handle(from, body);
             break;
           default:
-            // Tickets and slots are for routers with declared classes.
+            // Tickets and slots are used only by routers with declared classes.
             break;
         }
       }
