--- a/src/calls/attempt-reader.test.ts
+++ b/src/calls/attempt-reader.test.ts
@@ -25,13 +25,13 @@
 
 describe('attempt reader', ({ it }) => {
   // Guards against delivering a late response to an earlier call of the same connection.
-  it('takes an answer to another call for none', (t) => {
+  it('rejects a response to another call', (t) => {
     const { reader, ends } = createHarness();
     t.false(reader.readHead(200, { ...HEAD, callId: 'theirs' }));
     t.is(ends[0]?.kind, 'broken');
   });
 
-  it('takes a success without the endpoint’s mark or without an id for none', (t) => {
+  it('rejects a success without the signature header or without a call id', (t) => {
     for (const head of [
       { ...HEAD, isSigned: false },
       { ...HEAD, callId: undefined },
@@ -42,14 +42,14 @@
     }
   });
 
-  it('takes a refusal for proof even if its body breaks off', (t) => {
+  it('reports a rejection even if its body is truncated', (t) => {
     const { reader, ends } = createHarness();
     t.true(reader.readHead(503, { ...HEAD, isUnrun: true, isSigned: false }));
     reader.readError(true, 'reset');
     t.deepEqual(ends, [{ kind: 'rejected', isWrongEndpoint: false }]);
   });
 
-  it('gives a plain answer only when it is whole', (t) => {
+  it('reports a plain response only if it is complete', (t) => {
     const { reader, ends } = createHarness();
     reader.readHead(200, HEAD);
     reader.readData(Buffer.from('half'));
@@ -58,7 +58,7 @@
   });
 
   // The connection is closed with a FIN in the middle of an event.
-  it('takes a stream that ends in the middle of an event for broken', (t) => {
+  it('reports a stream that ends within an event as broken', (t) => {
     const { reader, ends, events } = createHarness(true);
     reader.readHead(200, { ...HEAD, isEventStream: true });
     reader.readData(Buffer.from('id: 1\n\nid: 2'));
--- a/src/calls/attempt-reader.ts
+++ b/src/calls/attempt-reader.ts
@@ -61,7 +61,7 @@
   function readStream(bytes: Buffer): boolean {
     const events = splitter.add(bytes);
     if (events === undefined) {
-      close({ kind: 'broken', reason: 'an event without an end' });
+      close({ kind: 'broken', reason: 'event exceeds the size limit' });
       return false;
     }
     for (const event of events) listener.onEvent(event);
@@ -72,7 +72,7 @@
     chunks.push(bytes);
     bytesRead += bytes.length;
     if (bytesRead <= RESPONSE_BYTES_MAX) return true;
-    close({ kind: 'broken', reason: 'an answer beyond the largest size' });
+    close({ kind: 'broken', reason: 'response body exceeds the size limit' });
     return false;
   }
 
@@ -82,7 +82,7 @@
       // Guards against delivering a late response to an earlier call of the connection.
       const isOtherCall = decoded.callId !== undefined && decoded.callId !== callId;
       if (isOtherCall || (isSuccess && decoded.callId === undefined)) {
-        close({ kind: 'broken', reason: 'an answer to another call' });
+        close({ kind: 'broken', reason: 'response has no call id or that of another call' });
         return false;
       }
       if (decoded.isUnrun || decoded.isWrongEndpoint) {
@@ -91,7 +91,7 @@
         return true;
       }
       if (!decoded.isSigned) {
-        close({ kind: 'broken', reason: `an answer ${status} without the endpoint's mark` });
+        close({ kind: 'broken', reason: `response ${status} without the signature header` });
         return false;
       }
       head = { status, headers: decoded.headers };
@@ -112,7 +112,7 @@
     readEnd() {
       if (mode === 'stream') {
         if (splitter.hasPartialEvent())
-          close({ kind: 'broken', reason: 'half an event at the end' });
+          close({ kind: 'broken', reason: 'stream ended within an event' });
         else close({ kind: 'stream_ended' });
       } else if (mode === 'rejected') close({ kind: 'rejected', isWrongEndpoint });
       else if (mode === 'whole' && head !== undefined) {
--- a/src/calls/call-state-machine.test.ts
+++ b/src/calls/call-state-machine.test.ts
@@ -55,10 +55,10 @@
 const BROKEN: AttemptEnd = { kind: 'broken', reason: 'reset' };
 const REJECTED: AttemptEnd = { kind: 'rejected', isWrongEndpoint: false };
 
-describe('call life', ({ describe: block }) => {
-  block('calls that may run once', ({ it }) => {
+describe('call state machine', ({ describe: block }) => {
+  block('non-idempotent calls', ({ it }) => {
     // Guards against running a non-idempotent call twice, and against reporting it as not run.
-    it('are not sent again once they may have run, and are not said to be unrun', (t) => {
+    it('are not retried once they may have run, and are not reported as not run', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       const ended = send({ kind: 'ended', attempt: 1, end: BROKEN });
@@ -67,7 +67,7 @@
       t.is(findFailure(ended)?.retryAfterMs, undefined);
     });
 
-    it('go to another endpoint when the first proves that it ran nothing', (t) => {
+    it('are retried if the first endpoint reports that it did not run them', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       const next = send({ kind: 'ended', attempt: 1, end: REJECTED });
@@ -78,16 +78,16 @@
     });
 
     // Guards against cancelling a non-idempotent call halfway.
-    it('are seen through when their caller leaves', (t) => {
+    it('run to their end after the caller disconnects', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       t.deepEqual(send({ kind: 'caller_left' }), []);
     });
   });
 
-  block('repeatable calls', ({ it }) => {
+  block('idempotent calls', ({ it }) => {
     // Guards against replacing an endpoint's error response by one of the router.
-    it('keep the first error while a second endpoint is tried', (t) => {
+    it('return the first error response if the retry fails', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent);
       const answer = { head: { status: 500, headers: [] }, body: Buffer.from('sorry') };
       send({ kind: 'start' });
@@ -98,7 +98,7 @@
     });
 
     // Guards against waiting for a lost response until the deadline.
-    it('move on when their answer was lost on the way', (t) => {
+    it('are retried if there is no response', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent);
       send({ kind: 'start' });
       t.deepEqual(send({ kind: 'tick' }, FIRST_RESPONSE_TIMEOUT_MS - 1), []);
@@ -109,7 +109,7 @@
       );
     });
 
-    it('are not repeated beyond the shared budget', (t) => {
+    it('are not retried beyond the shared budget', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent, 2, 0);
       send({ kind: 'start' });
       const ended = send({ kind: 'ended', attempt: 1, end: BROKEN });
@@ -119,7 +119,7 @@
 
   block('streams', ({ it }) => {
     // Guards against repeated events and a second head after an engine fails during a stream.
-    it('that may be resumed go on at the last event delivered', (t) => {
+    it('are resumed after the last event delivered', (t) => {
       const { send } = createHarness(CALL_KIND.ResumableStream);
       send({ kind: 'start' });
       send({ kind: 'stream_started', attempt: 1, head: HEAD });
@@ -132,7 +132,7 @@
     });
 
     // Guards against waiting for a stream whose data centre became unreachable without a reset.
-    it('that may be resumed move on when they fall silent', (t) => {
+    it('are resumed at another endpoint if events stop arriving', (t) => {
       const { send } = createHarness(CALL_KIND.ResumableStream);
       send({ kind: 'start' });
       send({ kind: 'stream_started', attempt: 1, head: HEAD }, 100);
@@ -144,7 +144,7 @@
     });
 
     // Guards against a truncated stream that looks complete to the caller.
-    it('that may not be resumed end visibly broken', (t) => {
+    it('that cannot be resumed end with an error visible to the caller', (t) => {
       const { send } = createHarness(CALL_KIND.Stream);
       send({ kind: 'start' });
       send({ kind: 'stream_started', attempt: 1, head: HEAD });
@@ -152,7 +152,7 @@
       t.is(ended[0]?.kind, 'break_answer');
     });
 
-    it('are cancelled at the endpoint when their caller leaves', (t) => {
+    it('are cancelled at the endpoint when the caller disconnects', (t) => {
       const { send } = createHarness(CALL_KIND.Stream);
       send({ kind: 'start' });
       t.like(send({ kind: 'caller_left' })[0], { kind: 'cancel', attempt: 1 });
@@ -160,7 +160,7 @@
   });
 
   block('the deadline', ({ it }) => {
-    it('ends a call that is under way, as one that may have run', (t) => {
+    it('ends a running call as one that may have run', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       const ended = send({ kind: 'tick' }, DEADLINE_MS);
@@ -169,9 +169,9 @@
     });
   });
 
-  block('a call that is held back', ({ it }) => {
+  block('a waiting call', ({ it }) => {
     // Guards against reporting a call that was never sent as one that may have run.
-    it('has not run when its deadline comes', (t) => {
+    it('is reported as not run at its deadline', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent, 2, 10, true);
       send({ kind: 'start' });
       const ended = send({ kind: 'tick' }, DEADLINE_MS);
@@ -180,7 +180,7 @@
     });
   });
 
-  block('for any order of events', ({ it }) => {
+  block('for any order of messages', ({ it }) => {
     const ends: AttemptEnd[] = [
       { kind: 'unsent' },
       REJECTED,
@@ -196,7 +196,7 @@
       fc.record({ kind: fc.constant('caller_left' as const) }),
     );
 
-    it('a call ends once, and what may run once is sent again only with proof', (t) => {
+    it('a call ends once, and a non-idempotent one is retried only if it did not run', (t) => {
       fc.assert(
         fc.property(
           fc.constantFrom(...Object.values(CALL_KIND)),
--- a/src/calls/call-state-machine.ts
+++ b/src/calls/call-state-machine.ts
@@ -140,7 +140,7 @@
     const isReportedNotRun = reported.kind === 'unsent' || reported.kind === 'rejected';
     const end: AttemptEnd =
       hasResponseStarted && isReportedNotRun
-        ? { kind: 'broken', reason: `${reported.kind} after a head` }
+        ? { kind: 'broken', reason: `${reported.kind} after the response head` }
         : reported;
     isAttemptPending = false;
     switch (end.kind) {
--- a/src/calls/content-id.test.ts
+++ b/src/calls/content-id.test.ts
@@ -12,12 +12,12 @@
 };
 
 describe('content ids', ({ it }) => {
-  it('are the same for the same content', (t) => {
+  it('are equal for equal contents', (t) => {
     t.is(hashContent(CONTENT), hashContent({ ...CONTENT, body: Buffer.from('two crates') }));
     t.regex(hashContent(CONTENT), /^[0-9a-f]{16}$/);
   });
 
-  it('differ in each part, and no part runs into the next', (t) => {
+  it('differ if any part differs, even if the concatenated parts are equal', (t) => {
     const part = fc.string();
     fc.assert(
       fc.property(part, part, part, part, part, part, (a, b, c, d, e, f) => {
--- a/src/calls/endpoint-connections.test.ts
+++ b/src/calls/endpoint-connections.test.ts
@@ -52,7 +52,7 @@
 
 describe('endpoint connections', ({ it }) => {
   // Guards against delivering a truncated response as complete when the reset arrives with its last bytes.
-  it('tell a reset from the orderly end of an answer without a length', async (t) => {
+  it('distinguish a reset from the end of a response without a length', async (t) => {
     const head = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal';
     const server = await startEndpoint((socket, count) => {
       if (count === 1) socket.end(`${head}lo`);
@@ -69,7 +69,7 @@
     server.close();
   });
 
-  it('say that nothing was sent where no connection was made', async (t) => {
+  it('report that nothing was sent if no connection was established', async (t) => {
     const server = await startEndpoint(() => undefined);
     const address = getAddress(server);
     await new Promise((resolve) => {
@@ -81,7 +81,7 @@
   });
 
   // Guards against reading surplus bytes after a response as the response to the next request.
-  it('do not use a connection again on which more came than one answer', async (t) => {
+  it('do not reuse a connection that received surplus bytes', async (t) => {
     const answer = (body: string): string => `HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n${body}`;
     const server = await startEndpoint((socket, count) => {
       socket.write(count === 1 ? `${answer('ok')}${answer('xx')}` : answer('ok'));
@@ -97,7 +97,7 @@
     server.close();
   });
 
-  it('use a kept connection again', async (t) => {
+  it('reuse an idle connection', async (t) => {
     const server = await startEndpoint((socket) => {
       socket.write('HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok');
     });
--- a/src/calls/endpoint-connections.ts
+++ b/src/calls/endpoint-connections.ts
@@ -143,7 +143,7 @@
 
     function close(): void {
       isFinished = true;
-      requestController?.abort(new Error('the exchange is of no more use'));
+      requestController?.abort(new Error('exchange cancelled'));
       removeConnection(connection);
     }
 
@@ -157,7 +157,7 @@
       {
         onRequestStart(controller) {
           requestController = controller;
-          if (isFinished) controller.abort(new Error('the exchange is of no more use'));
+          if (isFinished) controller.abort(new Error('exchange cancelled'));
         },
         onResponseStart(controller, status) {
           if (isFinished || status <= INFORMATIONAL_STATUS_MAX) return;
@@ -171,7 +171,7 @@
           if (isFinished) return;
           isFinished = true;
           connection.isBusy = false;
-          if (connection.wasReset) listener.onError(true, 'the endpoint reset the connection');
+          if (connection.wasReset) listener.onError(true, 'connection reset by the endpoint');
           else listener.onEnd();
         },
         onResponseError(_, error) {
--- a/src/calls/event-splitter.test.ts
+++ b/src/calls/event-splitter.test.ts
@@ -5,7 +5,7 @@
 
 describe('event splitter', ({ it }) => {
   // Guards against joining a partial event to the first event of a resumed stream.
-  it('gives only whole events, byte for byte, however the stream is cut', (t) => {
+  it('returns complete events unchanged, however the stream is divided into chunks', (t) => {
     const stream = Buffer.from(
       'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nweights: 3\nid:3\ndata: c\n\n',
     );
@@ -27,13 +27,13 @@
     t.pass();
   });
 
-  it('keeps an unfinished event to itself', (t) => {
+  it('does not return a partial event', (t) => {
     const splitter = createEventSplitter();
     t.is(splitter.add(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.length, 1);
     t.true(splitter.hasPartialEvent());
   });
 
-  it('gives up an event without an end', (t) => {
+  it('rejects an event beyond the size limit', (t) => {
     const splitter = createEventSplitter();
     t.is(splitter.add(Buffer.alloc(EVENT_BYTES_MAX + 1, 'x')), undefined);
   });
--- a/src/calls/streams-beside-prompts.test.ts
+++ b/src/calls/streams-beside-prompts.test.ts
@@ -22,7 +22,7 @@
 describe('urgent streams beside long prompts', ({ it }) => {
   // Guards against pauses in a stream beyond its target while its engine reads a long prompt in chunks,
   // and against delaying long prompts to avoid them.
-  it('are in time, and so are the long prompts', async (t) => {
+  it('meet their targets, and so do the long prompts', async (t) => {
     const calls = await runPlay({
       seed: 1,
       engines: ENGINES,
--- a/src/calls/streams-in-overload.test.ts
+++ b/src/calls/streams-in-overload.test.ts
@@ -94,7 +94,7 @@
 describe('urgent streams in overload', ({ it }) => {
   // Guards against sending so many long prompts to an engine that urgent streams on it slow down until
   // their callers time out.
-  it('end in their time beside a burst of long prompts', (t) =>
+  it('complete in time during a burst of long prompts', (t) =>
     checkLookups(t, {
       engines: 3,
       slots: 128,
@@ -106,7 +106,7 @@
 
   // Guards against admitting long prompts to full engines just because they waited long, which fills
   // the queues of the engines and rejects urgent calls.
-  it('are not kept out by calls that waited long', (t) =>
+  it('are not displaced by less urgent calls that waited long', (t) =>
     checkLookups(t, {
       engines: 6,
       slots: 16,
--- a/src/gateway/knowledge-keeper.test.ts
+++ b/src/gateway/knowledge-keeper.test.ts
@@ -139,9 +139,9 @@
   to.applyResponse('watcher', from.buildResponse(request), sentMs);
 }
 
-describe('knowledge keeper', ({ it }) => {
+describe('knowledge store', ({ it }) => {
   // Guards against accepting a revoked key that is still present in a stale list.
-  it('does not take a list for the newest before a watch has answered', async (t) => {
+  it('does not confirm a list before a watch has answered', async (t) => {
     const harness = createHarness();
     harness.configuration.setWatchAnswered(false);
     await waitMs(30);
@@ -154,7 +154,7 @@
     other.stop();
   });
 
-  it('lives on what a peer answers while it does not follow the source, no younger than it is', async (t) => {
+  it('uses the knowledge of a peer, with its age, while it does not watch the source', async (t) => {
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
@@ -177,7 +177,7 @@
   });
 
   // Guards against dropping other endpoints, or the same one for good, because one entry cannot be decoded.
-  it('stops using an endpoint whose entry cannot be read, and no other', async (t) => {
+  it('stops using only the endpoint whose entry cannot be decoded', async (t) => {
     const harness = createHarness();
     await waitMs(30);
     harness.endpoints.setRows([
@@ -194,7 +194,7 @@
   });
 
   // Guards against sending calls to a leaving endpoint when the feed replays an older row of it.
-  it('does not go back behind what peers told when its own feed goes on from before', async (t) => {
+  it('does not revert to older rows than those from peers when its feed resumes', async (t) => {
     const harness = createHarness();
     await waitMs(30);
     harness.endpoints.loseWatch();
@@ -231,7 +231,7 @@
 
   // Guards against empty pools after an outage in which every entry lapsed: an instance that follows a
   // peer must wait for renewals as long as the peer does.
-  it('keeps lapsed endpoints as long as the peer it asks does', async (t) => {
+  it('keeps lapsed endpoints as long as the peer that it follows', async (t) => {
     const follower = createHarness();
     await waitMs(30);
     follower.store.setDuty(FOLLOW);
@@ -268,7 +268,7 @@
   });
 
   // Guards against accepting a revoked key because a delayed datagram counts as a fresh confirmation.
-  it('takes a confirmation for as old as it is, however long it was on its way', async (t) => {
+  it('adds the transit time of a confirmation to its age', async (t) => {
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
@@ -281,7 +281,7 @@
     watcher.stop();
   });
 
-  it('asks for what a summary names and it lacks, unless its own feed answers', async (t) => {
+  it('fetches newer knowledge that a summary announces, unless its own feed answers', async (t) => {
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
@@ -296,7 +296,7 @@
 
   // Guards against sending calls to an endpoint that has left because the watch connection failed without
   // being closed.
-  it('doubts its own feed when others stay ahead of it', async (t) => {
+  it('restarts its feed when peers stay ahead of it', async (t) => {
     const harness = createHarness();
     await waitMs(30);
     const calls = harness.endpoints.countCalls();
@@ -312,7 +312,7 @@
   });
 
   // Guards against waiting for a pending standby watch when this instance becomes a leading watcher.
-  it('asks the source at once when others come to rely on it', async (t) => {
+  it('queries the source at once when it becomes a leading watcher', async (t) => {
     const harness = createHarness({ ...WATCH, isLeading: false });
     await waitMs(30);
     const calls = harness.configuration.countCalls();
