--- a/src/calls/call-runner.ts
+++ b/src/calls/call-runner.ts
@@ -20,7 +20,7 @@
 } from './attempt-policy.js';
 import { createAttemptReader } from './attempt-reader.js';
 import { createCallStateMachine } from './call-state-machine.js';
-import { computeConnectionsMax } from './connection-limit.js';
+import { computeConnectionsMax } from './connection-share.js';
 import type { CallStateMachine } from './call-state-machine.js';
 import type {
   AttemptEnd,
