--- a/src/calls/attempt-reader.ts
+++ b/src/calls/attempt-reader.ts
@@ -1,27 +1,26 @@
 /**
- * Turns what one exchange with an endpoint brings into typed messages: whose answer it is, whether
- * it is whole, whether the endpoint ran anything.
+ * Reads the response of one attempt and reports its events and result. Checks that the response belongs
+ * to the call, that it is complete, and whether the endpoint ran the call.
  */
 import type { AnswerHead, AttemptEnd, HeaderField } from './call-messages.js';
-import { CALL_ANSWER_BYTES_MAX } from './call-limits.js';
+import { RESPONSE_BYTES_MAX } from './call-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
 
-/** What an endpoint's status and headers say. */
+/** Status and headers of a response, decoded by the endpoint protocol. */
 export interface DecodedHead {
-  /** The call the endpoint says it answers; undefined where it says nothing. */
+  /** Call id in the response; undefined if it has none. */
   readonly callId: string | undefined;
-  /** The endpoint says that it did not run the call. */
+  /** The endpoint reports that it did not run the call. */
   readonly isUnrun: boolean;
-  /** Another endpoint has the address now. */
+  /** The address now belongs to another endpoint. */
   readonly isWrongEndpoint: boolean;
-  /** The answer bears the mark that every endpoint puts on its own. */
+  /** The response has the signature header that every endpoint adds. */
   readonly isSigned: boolean;
   readonly isEventStream: boolean;
   readonly headers: readonly HeaderField[];
 }
 
-/** What the reader reports. */
 export interface AttemptListener {
   onStreamStarted(head: AnswerHead): void;
   onEvent(event: StreamEvent): void;
@@ -29,28 +28,26 @@
   onEnded(end: AttemptEnd): void;
 }
 
-/** Reads one exchange. */
 export interface AttemptReader {
-  /** False where the rest of the exchange is of no use: its connection is to be closed. */
+  /** False if the rest of the response is not needed and the connection must be closed. */
   readHead(status: number, head: DecodedHead): boolean;
   readData(bytes: Buffer): boolean;
-  /** The exchange is whole. */
+  /** The response ended. */
   readEnd(): void;
-  /** The exchange broke off; `isSent`: bytes of the call may have reached the endpoint. */
+  /** The exchange failed; `isSent`: bytes of the request may have reached the endpoint. */
   readError(isSent: boolean, reason: string): void;
 }
 
-const SUCCESS_MIN = 200;
-const SUCCESS_MAX = 299;
+const SUCCESS_STATUS_MIN = 200;
+const SUCCESS_STATUS_MAX = 299;
 
-/** Builds a reader for the call with this id. */
 export function createAttemptReader(
   callId: string,
   isStreamExpected: boolean,
   listener: AttemptListener,
 ): AttemptReader {
   const splitter = createEventSplitter();
-  const pieces: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytesRead = 0;
   let head: AnswerHead | undefined;
   let mode: 'none' | 'stream' | 'whole' | 'rejected' | 'ended' = 'none';
@@ -64,29 +61,28 @@
   function readStream(bytes: Buffer): boolean {
     const events = splitter.add(bytes);
     if (events === undefined) {
-      close({ kind: 'broken', reason: 'an event without an end' });
+      close({ kind: 'broken', reason: 'event exceeds the size limit' });
       return false;
     }
     for (const event of events) listener.onEvent(event);
     return true;
   }
 
-  function readWhole(bytes: Buffer): boolean {
-    pieces.push(bytes);
+  function readBody(bytes: Buffer): boolean {
+    chunks.push(bytes);
     bytesRead += bytes.length;
-    if (bytesRead <= CALL_ANSWER_BYTES_MAX) return true;
-    close({ kind: 'broken', reason: 'an answer beyond the largest size' });
+    if (bytesRead <= RESPONSE_BYTES_MAX) return true;
+    close({ kind: 'broken', reason: 'response body exceeds the size limit' });
     return false;
   }
 
   return {
     readHead(status, decoded) {
-      const isSuccess = status >= SUCCESS_MIN && status <= SUCCESS_MAX;
-      // Guards against late answers to earlier calls of the connection: delivering one would hand a
-      // caller somebody else's answer.
-      const isForeign = decoded.callId !== undefined && decoded.callId !== callId;
-      if (isForeign || (isSuccess && decoded.callId === undefined)) {
-        close({ kind: 'broken', reason: 'an answer to another call' });
+      const isSuccess = status >= SUCCESS_STATUS_MIN && status <= SUCCESS_STATUS_MAX;
+      // Guards against delivering a late response to an earlier call of the connection.
+      const isOtherCall = decoded.callId !== undefined && decoded.callId !== callId;
+      if (isOtherCall || (isSuccess && decoded.callId === undefined)) {
+        close({ kind: 'broken', reason: 'response has no call id or that of another call' });
         return false;
       }
       if (decoded.isUnrun || decoded.isWrongEndpoint) {
@@ -95,7 +91,7 @@
         return true;
       }
       if (!decoded.isSigned) {
-        close({ kind: 'broken', reason: `an answer ${status} without the endpoint's mark` });
+        close({ kind: 'broken', reason: `response ${status} without the signature header` });
         return false;
       }
       head = { status, headers: decoded.headers };
@@ -108,23 +104,24 @@
         case 'stream':
           return readStream(bytes);
         case 'whole':
-          return readWhole(bytes);
+          return readBody(bytes);
         default:
           return mode === 'rejected';
       }
     },
     readEnd() {
       if (mode === 'stream') {
-        if (splitter.hasRest()) close({ kind: 'broken', reason: 'half an event at the end' });
+        if (splitter.hasPartialEvent())
+          close({ kind: 'broken', reason: 'stream ended within an event' });
         else close({ kind: 'stream_ended' });
       } else if (mode === 'rejected') close({ kind: 'rejected', isWrongEndpoint });
       else if (mode === 'whole' && head !== undefined) {
-        close({ kind: 'answered', head, body: Buffer.concat(pieces) });
+        close({ kind: 'answered', head, body: Buffer.concat(chunks) });
       }
     },
     readError(isSent, reason) {
       if (mode === 'ended') return;
-      // A refusal is proof by its head alone, whatever became of its body.
+      // The head of a rejection proves that the call did not run, even if the body is incomplete.
       if (mode === 'rejected') close({ kind: 'rejected', isWrongEndpoint });
       else if (!isSent) close({ kind: 'unsent' });
       else close({ kind: 'broken', reason });
--- /dev/null
+++ b/src/calls/call-state-machine.ts
@@ -0,0 +1,279 @@
+/**
+ * State machine of one routed call, without I/O. Decides when an attempt may be repeated, which parts of
+ * a response are delivered and how the call ends. Reports `NotRun` only if no endpoint can have run the
+ * call.
+ */
+import { CALL_KIND } from '../types/traffic.js';
+import type { CallKind } from '../types/traffic.js';
+import { FAILURE, OUTCOME } from '../types/outcomes.js';
+import type { Failure, RequestFailure } from '../types/outcomes.js';
+import { assertNever } from '../utils/assert-never.js';
+import type {
+  AnswerHead,
+  AttemptEnd,
+  CallCommand,
+  CallMessage,
+  CancelReason,
+} from './call-messages.js';
+
+const OVERLOADED_RETRY_MS = 500;
+const SERVER_ERROR_MIN = 500;
+/** Attempts that fail before a byte is sent do not count towards `attemptsMax`, but towards this limit. */
+const UNSENT_ATTEMPTS_MAX = 3;
+
+export interface CallStateMachineOptions {
+  readonly kind: CallKind;
+  readonly attemptsMax: number;
+  readonly deadlineMs: number;
+  /** Last event that the caller received, if it resumes an earlier stream. */
+  readonly lastEventId: string | undefined;
+  /** An attempt without a response is cancelled after this time if the call may be retried. */
+  readonly firstResponseTimeoutMs: number;
+  /** The same for a stream without a new event. */
+  readonly streamIdleTimeoutMs: number;
+  /** Takes one retry from the shared budget; false if it is exhausted. */
+  readonly takeRetry: () => boolean;
+}
+
+/** State machine of one call. */
+export interface CallStateMachine {
+  handle(message: CallMessage, nowMs: number): CallCommand[];
+  isEnded(): boolean;
+  /** Number of attempts that were sent. */
+  countAttempts(): number;
+}
+
+interface EndpointResponse {
+  readonly head: AnswerHead;
+  readonly body: Buffer;
+}
+
+export function createCallStateMachine(options: CallStateMachineOptions): CallStateMachine {
+  const { kind, attemptsMax, deadlineMs } = options;
+  const isRepeatable = kind === CALL_KIND.Idempotent || kind === CALL_KIND.ResumableStream;
+  let attempt = 0;
+  let sentAttempts = 0;
+  let unsentAttempts = 0;
+  /** An attempt was requested and has not ended. */
+  let isAttemptPending = false;
+  let isDispatched = false;
+  /** When the current attempt was sent or last received data. */
+  let lastActivityMs = 0;
+  let mayHaveRun = false;
+  let isHeadDelivered = false;
+  /** The endpoint of the current attempt has started to respond, so it may have run the call. */
+  let hasResponseStarted = false;
+  let isEnded = false;
+  let { lastEventId } = options;
+  /** Error response of an endpoint, delivered if the retry fails. */
+  let endpointError: EndpointResponse | undefined;
+  let commands: CallCommand[] = [];
+
+  function closeWithFailure(type: Failure, message: string, retryAfterMs?: number): void {
+    isEnded = true;
+    if (isHeadDelivered) {
+      commands.push({ kind: 'break_answer', reason: message });
+      return;
+    }
+    if (endpointError !== undefined) {
+      commands.push({ kind: 'deliver_answer', ...endpointError });
+      return;
+    }
+    const failure: RequestFailure = {
+      type,
+      message,
+      outcome: mayHaveRun ? OUTCOME.MayHaveRun : OUTCOME.NotRun,
+      ...(retryAfterMs === undefined || mayHaveRun ? {} : { retryAfterMs }),
+    };
+    commands.push({ kind: 'fail', failure });
+  }
+
+  function startAttempt(nowMs: number): void {
+    attempt += 1;
+    sentAttempts += 1;
+    isAttemptPending = true;
+    isDispatched = false;
+    hasResponseStarted = false;
+    lastActivityMs = nowMs;
+    commands.push({ kind: 'attempt', attempt, lastEventId });
+  }
+
+  /** Ends a call without a response that may not be retried. */
+  function closeUnanswered(message: string): void {
+    if (mayHaveRun) closeWithFailure(FAILURE.EndpointFailed, message);
+    else closeWithFailure(FAILURE.Overloaded, message, OVERLOADED_RETRY_MS);
+  }
+
+  /** Retries the call at another endpoint if that is allowed, else ends it. */
+  function handleFailedAttempt(isKnownNotRun: boolean, message: string, nowMs: number): void {
+    const isAllowed = (isKnownNotRun || isRepeatable) && sentAttempts < attemptsMax;
+    if (isAllowed && options.takeRetry()) startAttempt(nowMs);
+    else closeUnanswered(message);
+  }
+
+  function handleUnsent(nowMs: number): void {
+    sentAttempts -= 1;
+    unsentAttempts += 1;
+    if (unsentAttempts > UNSENT_ATTEMPTS_MAX)
+      closeUnanswered('no endpoint could be reached; come back later');
+    else startAttempt(nowMs);
+  }
+
+  function handleResponse(response: EndpointResponse, nowMs: number): void {
+    mayHaveRun = true;
+    const isError = response.head.status >= SERVER_ERROR_MIN;
+    if (isHeadDelivered) {
+      // The endpoint did not resume the stream, so the response already delivered stays incomplete.
+      closeWithFailure(FAILURE.EndpointFailed, 'the endpoint refused to continue the answer');
+      return;
+    }
+    if (isError && isRepeatable && sentAttempts < attemptsMax && options.takeRetry()) {
+      endpointError = response;
+      startAttempt(nowMs);
+      return;
+    }
+    isEnded = true;
+    commands.push({ kind: 'deliver_answer', ...response });
+  }
+
+  function handleAttemptEnd(reported: AttemptEnd, nowMs: number): void {
+    const isReportedNotRun = reported.kind === 'unsent' || reported.kind === 'rejected';
+    const end: AttemptEnd =
+      hasResponseStarted && isReportedNotRun
+        ? { kind: 'broken', reason: `${reported.kind} after the response head` }
+        : reported;
+    isAttemptPending = false;
+    switch (end.kind) {
+      case 'unsent':
+        handleUnsent(nowMs);
+        break;
+      case 'rejected':
+        handleFailedAttempt(
+          true,
+          end.isWrongEndpoint
+            ? 'the endpoint is gone; come back after the time given'
+            : 'the endpoints are full; come back after the time given',
+          nowMs,
+        );
+        break;
+      case 'broken':
+        mayHaveRun = true;
+        handleFailedAttempt(false, 'the endpoint failed before its answer was whole', nowMs);
+        break;
+      case 'answered':
+        handleResponse({ head: end.head, body: end.body }, nowMs);
+        break;
+      case 'stream_ended':
+        isEnded = true;
+        commands.push({ kind: 'deliver_end' });
+        break;
+      default:
+        assertNever(end);
+    }
+  }
+
+  function handleStreamStart(head: AnswerHead): void {
+    mayHaveRun = true;
+    hasResponseStarted = true;
+    // A resumed stream continues under the head of the first response.
+    if (isHeadDelivered) return;
+    isHeadDelivered = true;
+    commands.push({ kind: 'deliver_head', head });
+  }
+
+  function cancelAttempt(reason: CancelReason): void {
+    if (!isAttemptPending) return;
+    isAttemptPending = false;
+    commands.push({ kind: 'cancel', attempt, reason });
+  }
+
+  function handleDeadline(): void {
+    // The endpoint may have run the call, or may still run it until it learns of the cancellation.
+    if (isAttemptPending && isDispatched) mayHaveRun = true;
+    cancelAttempt('deadline');
+    if (mayHaveRun) {
+      closeWithFailure(
+        FAILURE.DeadlinePassed,
+        'the time allowed passed before the answer was whole',
+      );
+    } else {
+      closeWithFailure(FAILURE.Overloaded, 'no endpoint was free in time', OVERLOADED_RETRY_MS);
+    }
+  }
+
+  /** Guards against lost responses and connections that fail without being closed. */
+  function checkStall(nowMs: number): void {
+    const timeoutMs = hasResponseStarted
+      ? options.streamIdleTimeoutMs
+      : options.firstResponseTimeoutMs;
+    const isStalled = isAttemptPending && isDispatched && nowMs - lastActivityMs >= timeoutMs;
+    if (!isStalled || !isRepeatable || sentAttempts >= attemptsMax) return;
+    if (!options.takeRetry()) return;
+    mayHaveRun = true;
+    cancelAttempt('stalled');
+    startAttempt(nowMs);
+  }
+
+  function handleCallerDisconnect(): void {
+    isEnded = true;
+    // A call that may not be repeated runs to its end, since cancelling it could leave it half done.
+    if (kind === CALL_KIND.NonIdempotent) return;
+    cancelAttempt('caller left');
+  }
+
+  function isCurrent(message: CallMessage): boolean {
+    return !('attempt' in message) || (isAttemptPending && message.attempt === attempt);
+  }
+
+  function applyMessage(message: CallMessage, nowMs: number): void {
+    switch (message.kind) {
+      case 'start':
+        startAttempt(nowMs);
+        break;
+      case 'unplaced':
+        isAttemptPending = false;
+        sentAttempts -= 1;
+        closeWithFailure(
+          mayHaveRun ? FAILURE.EndpointFailed : message.failure.type,
+          message.failure.message,
+          message.failure.retryAfterMs,
+        );
+        break;
+      case 'dispatched':
+        isDispatched = true;
+        lastActivityMs = nowMs;
+        break;
+      case 'stream_started':
+        lastActivityMs = nowMs;
+        handleStreamStart(message.head);
+        break;
+      case 'event':
+        lastActivityMs = nowMs;
+        if (message.id !== undefined) lastEventId = message.id;
+        commands.push({ kind: 'deliver_event', bytes: message.bytes });
+        break;
+      case 'ended':
+        handleAttemptEnd(message.end, nowMs);
+        break;
+      case 'caller_left':
+        handleCallerDisconnect();
+        break;
+      case 'tick':
+        if (nowMs >= deadlineMs) handleDeadline();
+        else checkStall(nowMs);
+        break;
+      default:
+        assertNever(message);
+    }
+  }
+
+  return {
+    handle(message, nowMs) {
+      commands = [];
+      if (!isEnded && isCurrent(message)) applyMessage(message, nowMs);
+      return commands;
+    },
+    isEnded: () => isEnded,
+    countAttempts: () => sentAttempts,
+  };
+}
--- a/src/gateway/knowledge-questions.ts
+++ b/src/gateway/knowledge-fetcher.ts
@@ -1,23 +1,18 @@
-/** Asks other instances for what they know of the source's tables. */
+/** Fetches other instances' copies of the source's tables. */
 import type { FetchKnowledgeResponse } from '../gen/peer_pb.js';
 import type { DecisionLog } from '../observability/decision-log.js';
 import type { KnownRevisions, PeerLinks } from '../peers/peer-links.js';
 import type { TimerService } from '../runtime/timer-service.js';
 
-/**
- * News is asked for no more often than this, in milliseconds: a fleet's endpoints register one after the
- * other, and at a start each instance would ask for each of them, 24 times in five seconds.
- */
-const NEWS_PERIOD_MS = 200;
+/** Minimum interval between fetches on updates, so that endpoints which register one by one cause few fetches. */
+const UPDATE_FETCH_INTERVAL_MS = 200;
 
-/** Somebody to ask. */
 export interface KnowledgePeer {
   readonly name: string;
   readonly address: string;
 }
 
-/** What the questions are built on. */
-export interface KnowledgeQuestionsOptions {
+export interface KnowledgeFetcherOptions {
   readonly timers: TimerService;
   readonly log: DecisionLog;
   readonly links: Pick<PeerLinks, 'fetchKnowledge'>;
@@ -26,19 +21,17 @@
   readonly onKnowledge: (peer: string, response: FetchKnowledgeResponse, sentMs: number) => void;
 }
 
-/** Questions of one instance. */
-export interface KnowledgeQuestions {
-  /** Asks a peer; one that is being asked is not asked again meanwhile. */
-  post(peer: KnowledgePeer): void;
-  /** Asks a peer that told of something new, unless the last such question was a moment ago: what is new is told again. */
-  postForNews(peer: KnowledgePeer): void;
+export interface KnowledgeFetcher {
+  /** Fetches from a peer, unless a fetch from it is pending. */
+  startFetch(peer: KnowledgePeer): void;
+  /** Fetches from a peer that announced an update. Rate limited, since peers repeat their announcements. */
+  startUpdateFetch(peer: KnowledgePeer): void;
 }
 
-/** Builds questions that were not asked. */
-export function createKnowledgeQuestions(options: KnowledgeQuestionsOptions): KnowledgeQuestions {
+export function createKnowledgeFetcher(options: KnowledgeFetcherOptions): KnowledgeFetcher {
   const { timers, log, links } = options;
-  const asked = new Set<string>();
-  let askedForNewsMs = -Infinity;
+  const pendingAddresses = new Set<string>();
+  let lastUpdateFetchMs = -Infinity;
 
   async function fetchKnowledge({ name, address }: KnowledgePeer): Promise<void> {
     const sentMs = timers.clock.monotonicMs();
@@ -52,21 +45,21 @@
     }
   }
 
-  function post(peer: KnowledgePeer): void {
-    if (asked.has(peer.address)) return;
-    asked.add(peer.address);
+  function startFetch(peer: KnowledgePeer): void {
+    if (pendingAddresses.has(peer.address)) return;
+    pendingAddresses.add(peer.address);
     fetchKnowledge(peer)
       .catch(() => undefined)
-      .finally(() => asked.delete(peer.address));
+      .finally(() => pendingAddresses.delete(peer.address));
   }
 
   return {
-    post,
-    postForNews(peer) {
+    startFetch,
+    startUpdateFetch(peer) {
       const nowMs = timers.clock.monotonicMs();
-      if (nowMs - askedForNewsMs < NEWS_PERIOD_MS) return;
-      askedForNewsMs = nowMs;
-      post(peer);
+      if (nowMs - lastUpdateFetchMs < UPDATE_FETCH_INTERVAL_MS) return;
+      lastUpdateFetchMs = nowMs;
+      startFetch(peer);
     },
   };
 }
--- a/src/gateway/knowledge-keeper.test.ts
+++ b/src/gateway/knowledge-keeper.test.ts
@@ -5,11 +5,11 @@
 import type { RegisteredEndpoint, TrafficConfiguration } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
 import type { WatchDuty } from '../knowledge/watch-duty.js';
-import { createKnowledgeKeeper } from './knowledge-keeper.js';
-import type { KnowledgeKeeper, RowDecoder } from './knowledge-keeper.js';
+import { createKnowledgeStore } from './knowledge-keeper.js';
+import type { KnowledgeStore, RowDecoder } from './knowledge-keeper.js';
 
 const NEVER = new Promise<FeedAnswer>(() => {
-  // The source has nothing new.
+  // Never resolves.
 });
 
 const WATCH: WatchDuty = {
@@ -44,7 +44,7 @@
   },
 };
 
-/** A table whose watches wait until a test changes it. */
+/** A table whose watches wait until the test changes its rows. */
 function createTable(rows: readonly FeedRow[]) {
   let revision = 5;
   let calls = 0;
@@ -102,7 +102,7 @@
     { key: 'b', value: 'ready' },
   ]);
   const ended: string[] = [];
-  const keeper = createKnowledgeKeeper({
+  const store = createKnowledgeStore({
     timers,
     random: createRandom(1),
     log: { write: () => undefined },
@@ -113,24 +113,24 @@
     onEndpointEnded: ({ startId }) => ended.push(startId),
     onSuspended: () => undefined,
   });
-  keeper.setDuty(duty);
+  store.setDuty(duty);
   return {
-    keeper,
+    store,
     ended,
     configuration,
     endpoints,
     stop() {
-      keeper.stop();
+      store.stop();
       timers.stop();
     },
   };
 }
 
-function listOpen(keeper: KnowledgeKeeper): string[] {
-  return keeper.directory.listOpen('p').map(({ id }) => id);
+function listOpen(store: KnowledgeStore): string[] {
+  return store.directory.listOpen('p').map(({ id }) => id);
 }
 
-function sendKnowledge(from: KnowledgeKeeper, to: KnowledgeKeeper, sentMs: number): void {
+function sendKnowledge(from: KnowledgeStore, to: KnowledgeStore, sentMs: number): void {
   const request = {
     $typeName: 'hyssoptally.peer.v1.FetchKnowledgeRequest',
     configurationRevision: to.getSummary().configurationRevision,
@@ -139,24 +139,22 @@
   to.applyResponse('watcher', from.buildResponse(request), sentMs);
 }
 
-describe('knowledge keeper', ({ it }) => {
-  // An instance starts seconds after a key was taken away, while the store's lists are read from a
-  // copy that lags behind. The key still stands in its list. Were the list taken for the newest,
-  // calls with that key would pass.
-  it('does not take a list for the newest before a watch has answered', async (t) => {
+describe('knowledge store', ({ it }) => {
+  // Guards against accepting a revoked key that is still present in a stale list.
+  it('does not confirm a list before a watch has answered', async (t) => {
     const harness = createHarness();
     harness.configuration.setWatchAnswered(false);
     await waitMs(30);
-    t.is(harness.keeper.getConfiguration()?.version, 7);
-    t.is(harness.keeper.computeAge(), Infinity);
+    t.is(harness.store.getConfiguration()?.version, 7);
+    t.is(harness.store.computeAge(), Infinity);
     harness.stop();
     const other = createHarness();
     await waitMs(30);
-    t.true(other.keeper.computeAge() < 1000);
+    t.true(other.store.computeAge() < 1000);
     other.stop();
   });
 
-  it('lives on what a peer answers while it does not follow the source, no younger than it is', async (t) => {
+  it('uses the knowledge of a peer, with its age, while it does not watch the source', async (t) => {
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
@@ -168,20 +166,18 @@
     ]);
     await waitMs(30);
     const sentMs = performance.now() - 400;
-    sendKnowledge(watcher.keeper, follower.keeper, sentMs);
-    t.is(follower.keeper.getConfiguration()?.version, 9);
-    t.deepEqual(listOpen(follower.keeper), ['c']);
-    t.true(follower.keeper.computeAge() >= 400);
+    sendKnowledge(watcher.store, follower.store, sentMs);
+    t.is(follower.store.getConfiguration()?.version, 9);
+    t.deepEqual(listOpen(follower.store), ['c']);
+    t.true(follower.store.computeAge() >= 400);
     await waitMs(50);
     t.is(follower.configuration.countCalls() + follower.endpoints.countCalls(), 0);
     follower.stop();
     watcher.stop();
   });
 
-  // An engine's entry is overwritten by some other program. Calls to what it says fail, and the engines
-  // beside it stand in the same page of changes: they must stay in use, and it must come back by its
-  // own next entry.
-  it('stops using an endpoint whose entry cannot be read, and no other', async (t) => {
+  // Guards against dropping other endpoints, or the same one for good, because one entry cannot be decoded.
+  it('stops using only the endpoint whose entry cannot be decoded', async (t) => {
     const harness = createHarness();
     await waitMs(30);
     harness.endpoints.setRows([
@@ -189,22 +185,21 @@
       { key: 'c', value: 'ready' },
     ]);
     await waitMs(30);
-    t.deepEqual(listOpen(harness.keeper), ['b', 'c']);
+    t.deepEqual(listOpen(harness.store), ['b', 'c']);
     t.deepEqual(harness.ended, ['a@ready']);
     harness.endpoints.setRows([{ key: 'a', value: 'ready' }]);
     await waitMs(30);
-    t.deepEqual(listOpen(harness.keeper).sort(), ['a', 'b', 'c']);
+    t.deepEqual(listOpen(harness.store).sort(), ['a', 'b', 'c']);
     harness.stop();
   });
 
-  // A prompt is sent to an engine that says it leaves. The store was out of reach, a peer told of the
-  // leaving, and then the store's feed goes on from before it: the row of the time before is replayed.
-  it('does not go back behind what peers told when its own feed goes on from before', async (t) => {
+  // Guards against sending calls to a leaving endpoint when the feed replays an older row of it.
+  it('does not revert to older rows than those from peers when its feed resumes', async (t) => {
     const harness = createHarness();
     await waitMs(30);
     harness.endpoints.loseWatch();
     await waitMs(10);
-    harness.keeper.applyResponse(
+    harness.store.applyResponse(
       'peer',
       {
         $typeName: 'hyssoptally.peer.v1.FetchKnowledgeResponse',
@@ -226,23 +221,22 @@
       },
       performance.now(),
     );
-    t.deepEqual(listOpen(harness.keeper), ['b']);
+    t.deepEqual(listOpen(harness.store), ['b']);
     await waitMs(250);
     harness.endpoints.setRows([{ key: 'a', value: 'ready' }]);
     await waitMs(30);
-    t.deepEqual(listOpen(harness.keeper), ['b']);
+    t.deepEqual(listOpen(harness.store), ['b']);
     harness.stop();
   });
 
-  // The store comes back after an outage in which every entry lapsed. A peer that watches waits two
-  // seconds for engines to renew theirs; one that asks it must wait as well instead of emptying its
-  // pools, and must not wait longer.
-  it('keeps lapsed endpoints as long as the peer it asks does', async (t) => {
+  // Guards against empty pools after an outage in which every entry lapsed: an instance that follows a
+  // peer must wait for renewals as long as the peer does.
+  it('keeps lapsed endpoints as long as the peer that it follows', async (t) => {
     const follower = createHarness();
     await waitMs(30);
-    follower.keeper.setDuty(FOLLOW);
+    follower.store.setDuty(FOLLOW);
     const answer = (renewalLeftMs: number, revision: number, rows: readonly FeedRow[]): void =>
-      follower.keeper.applyResponse(
+      follower.store.applyResponse(
         'watcher',
         {
           $typeName: 'hyssoptally.peer.v1.FetchKnowledgeResponse',
@@ -266,66 +260,63 @@
       { key: 'a', value: undefined },
       { key: 'b', value: undefined },
     ]);
-    t.deepEqual(listOpen(follower.keeper), ['a', 'b']);
+    t.deepEqual(listOpen(follower.store), ['a', 'b']);
     answer(250, 21, [{ key: 'b', value: 'ready' }]);
     await waitMs(700);
-    t.deepEqual(listOpen(follower.keeper), ['b']);
+    t.deepEqual(listOpen(follower.store), ['b']);
     follower.stop();
   });
 
-  // Two hundred instances live on what a handful hear of the store. A confirmation passes from hand to
-  // hand in datagrams, and one of them may lie unread in the socket of a machine that was suspended: it
-  // must not let a key in that was taken away meanwhile.
-  it('takes a confirmation for as old as it is, however long it was on its way', async (t) => {
+  // Guards against accepting a revoked key because a delayed datagram counts as a fresh confirmation.
+  it('adds the transit time of a confirmation to its age', async (t) => {
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
-    sendKnowledge(watcher.keeper, follower.keeper, performance.now());
-    const summary = watcher.keeper.getSummary();
+    sendKnowledge(watcher.store, follower.store, performance.now());
+    const summary = watcher.store.getSummary();
     await waitMs(120);
-    t.false(follower.keeper.applySummary(summary));
-    t.true(follower.keeper.computeAge() >= 120);
+    t.false(follower.store.applySummary(summary));
+    t.true(follower.store.computeAge() >= 120);
     follower.stop();
     watcher.stop();
   });
 
-  it('asks for what a summary names and it lacks, unless its own feed answers', async (t) => {
+  it('fetches newer knowledge that a summary announces, unless its own feed answers', async (t) => {
     const watcher = createHarness();
     const follower = createHarness(FOLLOW);
     await waitMs(30);
-    const summary = watcher.keeper.getSummary();
-    t.true(follower.keeper.applySummary(summary));
-    t.false(watcher.keeper.applySummary({ ...summary, endpointsRevision: 99 }));
-    sendKnowledge(watcher.keeper, follower.keeper, performance.now());
-    t.false(follower.keeper.applySummary(summary));
+    const summary = watcher.store.getSummary();
+    t.true(follower.store.applySummary(summary));
+    t.false(watcher.store.applySummary({ ...summary, endpointsRevision: 99 }));
+    sendKnowledge(watcher.store, follower.store, performance.now());
+    t.false(follower.store.applySummary(summary));
     follower.stop();
     watcher.stop();
   });
 
-  // The connection on which one instance watches the endpoints goes silent. Others that watch are told
-  // of a change and tell it on: waiting out its own call would send prompts to an engine that has left.
-  it('doubts its own feed when others stay ahead of it', async (t) => {
+  // Guards against sending calls to an endpoint that has left because the watch connection failed without
+  // being closed.
+  it('restarts its feed when peers stay ahead of it', async (t) => {
     const harness = createHarness();
     await waitMs(30);
     const calls = harness.endpoints.countCalls();
-    const ahead = { ...harness.keeper.getSummary(), endpointsRevision: 99 };
-    harness.keeper.applySummary(ahead);
+    const ahead = { ...harness.store.getSummary(), endpointsRevision: 99 };
+    harness.store.applySummary(ahead);
     await waitMs(300);
-    harness.keeper.applySummary(ahead);
+    harness.store.applySummary(ahead);
     t.is(harness.endpoints.countCalls(), calls);
     await waitMs(500);
-    harness.keeper.applySummary(ahead);
+    harness.store.applySummary(ahead);
     t.true(harness.endpoints.countCalls() > calls);
     harness.stop();
   });
 
-  // The watchers on which all rely go quiet. Who is to take over has a call under way that would wait
-  // for seconds more.
-  it('asks the source at once when others come to rely on it', async (t) => {
+  // Guards against waiting for a pending standby watch when this instance becomes a leading watcher.
+  it('queries the source at once when it becomes a leading watcher', async (t) => {
     const harness = createHarness({ ...WATCH, isLeading: false });
     await waitMs(30);
     const calls = harness.configuration.countCalls();
-    harness.keeper.setDuty(WATCH);
+    harness.store.setDuty(WATCH);
     await waitMs(30);
     t.true(harness.configuration.countCalls() > calls);
     harness.stop();
