--- a/src/load-sharing/choose-heads.ts
+++ b/src/load-sharing/choose-heads.ts
@@ -9,11 +9,11 @@
 import { chooseRendezvous, hashName, hashPair } from '../utils/hash.js';
 
 /** Up to this many instances everybody tells everybody: a head for each. */
-export const TELL_ALL_MAX = 12;
+export const FULL_MESH_MAX = 12;
 /** Instances of one group at most: a head of 195 sends 16 tables to its group and 14 to other heads a period. */
 const GROUP_MAX = 16;
 /** Heads of a data centre at least: with one alone its death would look like the data centre's. */
-const HEADS_MIN = 2;
+const AGGREGATORS_MIN = 2;
 
 /** An instance that is alive. */
 export interface LoadMember {
@@ -22,8 +22,8 @@
   readonly dataCentre: string;
 }
 
-function countHeads(members: number): number {
-  return Math.min(members, Math.max(HEADS_MIN, Math.ceil(members / GROUP_MAX)));
+function countAggregators(members: number): number {
+  return Math.min(members, Math.max(AGGREGATORS_MIN, Math.ceil(members / GROUP_MAX)));
 }
 
 function listNames(members: readonly LoadMember[]): string[] {
@@ -31,18 +31,18 @@
 }
 
 /** The heads of a fleet, the same on every instance that knows the same members. */
-export function chooseHeads(fleet: readonly LoadMember[]): string[] {
-  if (fleet.length <= TELL_ALL_MAX) return listNames(fleet);
+export function chooseAggregators(fleet: readonly LoadMember[]): string[] {
+  if (fleet.length <= FULL_MESH_MAX) return listNames(fleet);
   const dataCentres = new Set(fleet.map(({ dataCentre }) => dataCentre));
   return [...dataCentres].flatMap((dataCentre) => {
     const members = fleet.filter((member) => member.dataCentre === dataCentre);
-    return chooseRendezvous('loads', listNames(members), countHeads(members.length));
+    return chooseRendezvous('loads', listNames(members), countAggregators(members.length));
   });
 }
 
 /** The heads that an instance may report to, the one it prefers first: each draws its share of the others. */
-export function listHeadsFor(self: string, heads: readonly string[]): string[] {
+export function listAggregatorsFor(self: string, aggregators: readonly string[]): string[] {
   const own = hashName(self);
-  const rank = (head: string): number => hashPair(hashName(head), own);
-  return [...heads].sort((a, b) => rank(b) - rank(a));
+  const rank = (aggregator: string): number => hashPair(hashName(aggregator), own);
+  return [...aggregators].sort((a, b) => rank(b) - rank(a));
 }
--- a/src/load-sharing/fleet-loads.test.ts
+++ b/src/load-sharing/fleet-loads.test.ts
@@ -11,7 +11,7 @@
 /** The route whose calls are the most urgent. */
 const LOOKUP = 'lookup';
 /** What a chooser may be wrong by, in calls: the slots by which less urgent calls leave room for urgent ones. */
-const BELIEF_ERROR_MAX = SLOTS / 8;
+const LOAD_ERROR_MAX = SLOTS / 8;
 /** Part of the lookups that must be in time while twice the usual calls come. */
 const IN_TIME_MIN = 0.95;
 
@@ -20,7 +20,7 @@
   return lookups.filter(({ isInTime }) => isInTime).length / lookups.length;
 }
 
-async function checkFleet(
+async function checkFleetLoads(
   t: ExecutionContext,
   instances: number,
   dataCentres: number,
@@ -38,7 +38,7 @@
     settlingMs: 8000,
   });
   const inTime = computeInTime(calls);
-  t.true(meanBeliefError <= BELIEF_ERROR_MAX, `wrong by ${meanBeliefError.toFixed(2)} calls`);
+  t.true(meanBeliefError <= LOAD_ERROR_MAX, `wrong by ${meanBeliefError.toFixed(2)} calls`);
   t.true(inTime >= IN_TIME_MIN, `${inTime.toFixed(3)} of the lookups in time`);
   t.log(
     `${instances} instances: ${meanBeliefError.toFixed(2)} calls wrong, ${inTime.toFixed(3)} of the lookups in time, ${datagramsPerSecond.toFixed(1)} datagrams a second`,
@@ -50,7 +50,9 @@
   // six others what it had under way, drawn anew ten times a second: of 70, one hears of each other once
   // in 1.1 s, of 195 once in 3.2 s, and engines turn over in a fraction of that. What was believed of an
   // engine was wrong by 5.0 and 8.7 calls in the mean, by this play's own record.
-  it('are known to within an eighth of the slots at 70 instances', (t) => checkFleet(t, 70, 3));
+  it('are known to within an eighth of the slots at 70 instances', (t) =>
+    checkFleetLoads(t, 70, 3));
 
-  it('are known to within an eighth of the slots at 195 instances', (t) => checkFleet(t, 195, 5));
+  it('are known to within an eighth of the slots at 195 instances', (t) =>
+    checkFleetLoads(t, 195, 5));
 });
--- a/src/load-sharing/load-exchange.test.ts
+++ b/src/load-sharing/load-exchange.test.ts
@@ -4,7 +4,7 @@
 import { describe } from '../test/describe.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
-import { chooseHeads, listHeadsFor } from './choose-heads.js';
+import { chooseAggregators, listAggregatorsFor } from './choose-heads.js';
 import type { LoadMember } from './choose-heads.js';
 import { TELL_PERIOD_MS, createLoadExchange } from './load-exchange.js';
 import type { LoadExchange } from './load-exchange.js';
@@ -43,13 +43,13 @@
   const instanceAt = new Map(fleet.map((instance) => [instance.self.address, instance]));
 
   function advanceOne({ self, exchange }: Instance): void {
-    const tellings = exchange.advance(nowMs);
+    const updates = exchange.advance(nowMs);
     if (silenced.has(self.name)) return;
-    for (const { addresses, ...telling } of tellings) {
+    for (const { addresses, ...update } of updates) {
       for (const address of addresses) {
         const to = instanceAt.get(address) as Instance;
-        const told = { ...telling, instance: self.name, dataCentre: self.dataCentre, part: 0 };
-        if (!silenced.has(to.self.name)) to.exchange.handle(told, nowMs);
+        const received = { ...update, instance: self.name, dataCentre: self.dataCentre, part: 0 };
+        if (!silenced.has(to.self.name)) to.exchange.handle(received, nowMs);
       }
     }
   }
@@ -57,7 +57,7 @@
   return {
     fleet,
     silenced,
-    heads: chooseHeads(members),
+    aggregators: chooseAggregators(members),
     runPeriods(periods: number): void {
       for (let count = 0; count < periods; count += 1) {
         nowMs += TELL_PERIOD_MS;
@@ -125,7 +125,7 @@
   it('finds another head within a second when one falls silent', (t) => {
     const world = createFleet(70, 3);
     world.runPeriods(8);
-    const [dead] = world.heads;
+    const [dead] = world.aggregators;
     world.silenced.add(dead as string);
     for (const { self, loads } of world.fleet) {
       if (self.name !== dead) loads.start(ENGINE, 500, world.getNow());
@@ -142,8 +142,8 @@
     world.runPeriods(8);
     const counts = world.fleet.map(({ exchange, loads }) => {
       loads.start(ENGINE, 500, world.getNow());
-      const tellings = exchange.advance(world.getNow() + TELL_PERIOD_MS);
-      return tellings.reduce((sum, { addresses }) => sum + addresses.length, 0);
+      const updates = exchange.advance(world.getNow() + TELL_PERIOD_MS);
+      return updates.reduce((sum, { addresses }) => sum + addresses.length, 0);
     });
     t.true(Math.max(...counts) <= 60, `${Math.max(...counts)} datagrams in a period`);
     t.is([...counts].sort((a, b) => a - b)[150], 1);
@@ -152,13 +152,15 @@
   it('tells which data centres are heard', (t) => {
     const world = createFleet(70, 3);
     world.runPeriods(8);
-    const head = world.fleet.find(({ self }) => self.name === world.heads[0]) as Instance;
+    const aggregator = world.fleet.find(
+      ({ self }) => self.name === world.aggregators[0],
+    ) as Instance;
     for (const { self } of world.fleet) {
       if (self.dataCentre === 'dc-2') world.silenced.add(self.name);
     }
     world.runPeriods(8);
-    head.loads.start(ENGINE, 500, world.getNow());
-    const table = head.exchange
+    aggregator.loads.start(ENGINE, 500, world.getNow());
+    const table = aggregator.exchange
       .advance(world.getNow() + TELL_PERIOD_MS)
       .find(({ scope }) => scope === LOAD_SCOPE.Others);
     t.deepEqual([...(table?.heardDataCentres ?? [])].sort(), ['dc-0', 'dc-1']);
@@ -173,16 +175,16 @@
         address: `i-${index}:1`,
         dataCentre: `dc-${index % 5}`,
       }));
-    t.is(chooseHeads(build(9)).length, 9);
-    t.is(chooseHeads(build(30)).length, 10);
-    t.is(chooseHeads(build(195)).length, 15);
+    t.is(chooseAggregators(build(9)).length, 9);
+    t.is(chooseAggregators(build(30)).length, 10);
+    t.is(chooseAggregators(build(195)).length, 15);
   });
 
   it('are shared out evenly', (t) => {
-    const heads = ['a', 'b', 'c'];
+    const aggregators = ['a', 'b', 'c'];
     const counts = new Map<string, number>();
     for (let index = 0; index < 300; index += 1) {
-      const [first = ''] = listHeadsFor(`i-${index}`, heads);
+      const [first = ''] = listAggregatorsFor(`i-${index}`, aggregators);
       counts.set(first, (counts.get(first) ?? 0) + 1);
     }
     t.true(Math.max(...counts.values()) < 150);
--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -5,10 +5,10 @@
  * fleet itself, so that nothing has to be agreed on: a wrong choice costs one more telling.
  */
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
-import { createToldLoads, mergeShares } from '../placement/told-loads.js';
+import { createRemoteLoads, mergeShares } from '../placement/told-loads.js';
 import type { EndpointShareOfLoad } from '../placement/told-loads.js';
 import { assertNever } from '../utils/assert-never.js';
-import { chooseHeads, listHeadsFor } from './choose-heads.js';
+import { chooseAggregators, listAggregatorsFor } from './choose-heads.js';
 import type { LoadMember } from './choose-heads.js';
 import { LOAD_SCOPE } from './load-telling.js';
 import type { AddressedTelling, ReceivedTelling } from './load-telling.js';
@@ -16,17 +16,17 @@
 /** What changed is told this often, in milliseconds: prompts queue for a few hundred. */
 export const TELL_PERIOD_MS = 100;
 /** What did not change is told again after this many periods: it is the heartbeat by which others see that they reach this instance. */
-const REPEAT_PERIODS = 3;
+const HEARTBEAT_PERIODS = 3;
 /** What was told counts this long, in milliseconds: three repeats lost, or a busy machine's late timers. */
-const TOLD_AGE_MAX_MS = 1000;
+const REMOTE_LOAD_AGE_MAX_MS = 1000;
 /** A head that answers no report for this long, in milliseconds, is passed over: it answers ten times a second. */
-const HEAD_SILENT_MS = 500;
+const AGGREGATOR_TIMEOUT_MS = 500;
 /** And for this long, in milliseconds, by when membership knows whether it is dead. */
-const HEAD_PASSED_MS = 3000;
+const AGGREGATOR_BACKOFF_MS = 3000;
 /** A data centre counts as heard for this long, in milliseconds: a repeat and a lost datagram. */
-const HEARD_MS = 400;
+const DATA_CENTRE_TIMEOUT_MS = 400;
 /** The fleet is looked at anew after this many periods: heads change when somebody dies, which takes seconds to be known. */
-const FLEET_PERIODS = 5;
+const FLEET_REFRESH_PERIODS = 5;
 
 /** What an exchange is built on. */
 export interface LoadExchangeOptions {
@@ -36,7 +36,7 @@
   readonly listFleet: () => readonly LoadMember[];
 }
 
-interface Report {
+interface Reporter {
   readonly heardMs: number;
   readonly sources: ReadonlySet<string>;
 }
@@ -45,7 +45,7 @@
 export interface LoadExchange {
   /** A period has passed; what is to be told. */
   advance(nowMs: number): AddressedTelling[];
-  handle(telling: ReceivedTelling, nowMs: number): void;
+  handle(update: ReceivedTelling, nowMs: number): void;
 }
 
 /** The shares that decide where calls go; what was learned of endpoints may wait for a repeat. */
@@ -57,81 +57,84 @@
 
 /** Builds the exchange of an instance that has heard nobody. */
 export function createLoadExchange({ self, loads, listFleet }: LoadExchangeOptions): LoadExchange {
-  const { told } = loads;
+  const { remote } = loads;
   /** What the instances of the own group have, beside what `loads` holds of everybody. */
-  const group = createToldLoads();
+  const groupLoads = createRemoteLoads();
   /** Who reports here: when each was last heard, and the names its parts are kept under. */
-  const reports = new Map<string, Report>();
+  const reporters = new Map<string, Reporter>();
   /** When each head and each data centre was last heard. */
-  const headsHeardMs = new Map<string, number>();
+  const aggregatorsHeardMs = new Map<string, number>();
   const dataCentresHeardMs = new Map<string, number>();
   /** Heads that do not answer, and until when they are passed over. */
-  const passedUntilMs = new Map<string, number>();
+  const skippedUntilMs = new Map<string, number>();
   let addresses = new Map<string, string>();
-  let heads: string[] = [];
-  let ownHeads: string[] = [];
+  let aggregators: string[] = [];
+  let localAggregators: string[] = [];
   let periods = 0;
-  let isHead = true;
-  let head: { readonly name: string; readonly sinceMs: number } | undefined;
-  let headHeardMs = -Infinity;
+  let isAggregator = true;
+  let aggregator: { readonly name: string; readonly sinceMs: number } | undefined;
+  let aggregatorHeardMs = -Infinity;
   /** The head whose table is in hand. */
-  let toldBy: string | undefined;
-  let lastTold = '';
-  let periodsSinceTold = 0;
+  let tableFrom: string | undefined;
+  let lastSent = '';
+  let periodsSinceSent = 0;
 
   function updateFleet(): void {
     const fleet = listFleet();
     addresses = new Map(fleet.map(({ name, address }) => [name, address]));
-    heads = chooseHeads(fleet);
-    const near = new Set(
+    aggregators = chooseAggregators(fleet);
+    const localNames = new Set(
       fleet.filter(({ dataCentre }) => dataCentre === self.dataCentre).map(({ name }) => name),
     );
-    ownHeads = listHeadsFor(
+    localAggregators = listAggregatorsFor(
       self.name,
-      heads.filter((name) => near.has(name)),
+      aggregators.filter((name) => localNames.has(name)),
     );
   }
 
-  function removeSilent(nowMs: number): void {
-    for (const [name, { heardMs }] of reports) {
-      if (nowMs - heardMs > TOLD_AGE_MAX_MS) reports.delete(name);
+  function removeExpired(nowMs: number): void {
+    for (const [name, { heardMs }] of reporters) {
+      if (nowMs - heardMs > REMOTE_LOAD_AGE_MAX_MS) reporters.delete(name);
     }
-    for (const [name, heardMs] of headsHeardMs) {
-      if (nowMs - heardMs > TOLD_AGE_MAX_MS) headsHeardMs.delete(name);
+    for (const [name, heardMs] of aggregatorsHeardMs) {
+      if (nowMs - heardMs > REMOTE_LOAD_AGE_MAX_MS) aggregatorsHeardMs.delete(name);
     }
   }
 
   /** What was told under the other role would be counted twice under the new one. */
   function updateRole(): void {
-    const wasHead = isHead;
-    isHead = heads.includes(self.name) || ownHeads.length === 0 || reports.size > 0;
-    if (isHead === wasHead) return;
-    told.clear();
-    group.clear();
-    head = undefined;
-    toldBy = undefined;
+    const wasAggregator = isAggregator;
+    isAggregator =
+      aggregators.includes(self.name) || localAggregators.length === 0 || reporters.size > 0;
+    if (isAggregator === wasAggregator) return;
+    remote.clear();
+    groupLoads.clear();
+    aggregator = undefined;
+    tableFrom = undefined;
   }
 
   /**
    * Guards against a head that is dead, cut off or frozen, seconds before membership knows: it shows as
    * an instance that sends its calls by what it alone has under way. The next head takes its reports.
    */
-  function updateHead(nowMs: number): void {
-    const silentMs = nowMs - Math.max(head?.sinceMs ?? nowMs, headHeardMs);
-    if (head !== undefined && silentMs > HEAD_SILENT_MS) {
-      passedUntilMs.set(head.name, nowMs + HEAD_PASSED_MS);
+  function updateAggregator(nowMs: number): void {
+    const silentMs = nowMs - Math.max(aggregator?.sinceMs ?? nowMs, aggregatorHeardMs);
+    if (aggregator !== undefined && silentMs > AGGREGATOR_TIMEOUT_MS) {
+      skippedUntilMs.set(aggregator.name, nowMs + AGGREGATOR_BACKOFF_MS);
     }
-    const answering = ownHeads.filter((name) => nowMs >= (passedUntilMs.get(name) ?? 0));
-    const name = answering[0] ?? ownHeads[0];
-    if (name === undefined || name === head?.name) return;
-    head = { name, sinceMs: nowMs };
+    const answering = localAggregators.filter((name) => nowMs >= (skippedUntilMs.get(name) ?? 0));
+    const name = answering[0] ?? localAggregators[0];
+    if (name === undefined || name === aggregator?.name) return;
+    aggregator = { name, sinceMs: nowMs };
   }
 
-  function listHeard(nowMs: number): string[] {
-    return [...dataCentresHeardMs].filter(([, ms]) => nowMs - ms <= HEARD_MS).map(([name]) => name);
+  function listHeardDataCentres(nowMs: number): string[] {
+    return [...dataCentresHeardMs]
+      .filter(([, ms]) => nowMs - ms <= DATA_CENTRE_TIMEOUT_MS)
+      .map(([name]) => name);
   }
 
-  function buildTelling(
+  function buildUpdate(
     scope: AddressedTelling['scope'],
     to: readonly string[],
     shares: readonly EndpointShareOfLoad[],
@@ -141,17 +144,17 @@
       scope,
       shares,
       addresses: to.map((name) => addresses.get(name)).filter((address) => address !== undefined),
-      heardDataCentres: scope === LOAD_SCOPE.Others ? listHeard(nowMs) : [],
+      heardDataCentres: scope === LOAD_SCOPE.Others ? listHeardDataCentres(nowMs) : [],
     };
   }
 
   /** What the others have, from the point of view of one of the group. */
-  function buildOthers(
+  function buildOthersShares(
     member: string,
     fleet: readonly EndpointShareOfLoad[],
   ): EndpointShareOfLoad[] {
-    const sources = [...(reports.get(member)?.sources ?? [])];
-    const reported = sources.flatMap((source) => group.listOf(source));
+    const sources = [...(reporters.get(member)?.sources ?? [])];
+    const reported = sources.flatMap((source) => groupLoads.listFrom(source));
     const own = new Map(reported.map((share) => [share.endpoint, share]));
     return fleet.flatMap((share) => {
       const part = own.get(share.endpoint);
@@ -170,91 +173,93 @@
     });
   }
 
-  function buildHeadTellings(nowMs: number): AddressedTelling[] {
-    const others = new Set([...heads, ...headsHeardMs.keys()]);
+  function buildAggregatorUpdates(nowMs: number): AddressedTelling[] {
+    const others = new Set([...aggregators, ...aggregatorsHeardMs.keys()]);
     others.delete(self.name);
-    const groupShares = mergeShares([loads.listOwn(nowMs), group.list()]);
-    const tellings = [buildTelling(LOAD_SCOPE.Group, [...others], groupShares, nowMs)];
-    const fleet = reports.size > 0 ? loads.listFleet(nowMs) : [];
-    for (const member of reports.keys()) {
-      tellings.push(buildTelling(LOAD_SCOPE.Others, [member], buildOthers(member, fleet), nowMs));
+    const groupShares = mergeShares([loads.listOwn(nowMs), groupLoads.list()]);
+    const updates = [buildUpdate(LOAD_SCOPE.Group, [...others], groupShares, nowMs)];
+    const fleet = reporters.size > 0 ? loads.listFleet(nowMs) : [];
+    for (const member of reporters.keys()) {
+      updates.push(
+        buildUpdate(LOAD_SCOPE.Others, [member], buildOthersShares(member, fleet), nowMs),
+      );
     }
-    return tellings;
+    return updates;
   }
 
   /** Whether it is time to tell: at once what changed, now and then what did not. */
   function isDue(text: string): boolean {
-    periodsSinceTold += 1;
-    if (text === lastTold && periodsSinceTold < REPEAT_PERIODS) return false;
-    lastTold = text;
-    periodsSinceTold = 0;
+    periodsSinceSent += 1;
+    if (text === lastSent && periodsSinceSent < HEARTBEAT_PERIODS) return false;
+    lastSent = text;
+    periodsSinceSent = 0;
     return true;
   }
 
-  function buildTellings(nowMs: number): AddressedTelling[] {
-    if (isHead) {
-      const text = formatShares(reports.size > 0 ? loads.listFleet(nowMs) : loads.listOwn(nowMs));
-      return isDue(text) ? buildHeadTellings(nowMs) : [];
+  function buildUpdates(nowMs: number): AddressedTelling[] {
+    if (isAggregator) {
+      const text = formatShares(reporters.size > 0 ? loads.listFleet(nowMs) : loads.listOwn(nowMs));
+      return isDue(text) ? buildAggregatorUpdates(nowMs) : [];
     }
     const own = loads.listOwn(nowMs);
-    if (head === undefined || !isDue(formatShares(own))) return [];
-    return [buildTelling(LOAD_SCOPE.Own, [head.name], own, nowMs)];
+    if (aggregator === undefined || !isDue(formatShares(own))) return [];
+    return [buildUpdate(LOAD_SCOPE.Own, [aggregator.name], own, nowMs)];
   }
 
   function handleReport({ instance, part, shares }: ReceivedTelling, nowMs: number): void {
     const source = `${instance}/${part}`;
-    const sources = new Set([...(reports.get(instance)?.sources ?? []), source]);
-    reports.set(instance, { heardMs: nowMs, sources });
+    const sources = new Set([...(reporters.get(instance)?.sources ?? []), source]);
+    reporters.set(instance, { heardMs: nowMs, sources });
     updateRole();
-    told.set(source, shares, true, nowMs);
-    group.set(source, shares, true, nowMs);
+    remote.set(source, shares, true, nowMs);
+    groupLoads.set(source, shares, true, nowMs);
   }
 
-  function handleGroup(
+  function handleGroupLoad(
     { instance, dataCentre, part, shares }: ReceivedTelling,
     nowMs: number,
   ): void {
-    headsHeardMs.set(instance, nowMs);
-    if (!isHead) return;
-    told.set(`${instance}/${part}`, shares, dataCentre === self.dataCentre, nowMs);
+    aggregatorsHeardMs.set(instance, nowMs);
+    if (!isAggregator) return;
+    remote.set(`${instance}/${part}`, shares, dataCentre === self.dataCentre, nowMs);
   }
 
-  function handleOthers(telling: ReceivedTelling, nowMs: number): void {
-    const { instance, part, shares, heardDataCentres } = telling;
-    if (isHead || instance !== head?.name) return;
-    headHeardMs = nowMs;
+  function handleFleetLoad(update: ReceivedTelling, nowMs: number): void {
+    const { instance, part, shares, heardDataCentres } = update;
+    if (isAggregator || instance !== aggregator?.name) return;
+    aggregatorHeardMs = nowMs;
     // What the head before said holds until this one speaks.
-    if (toldBy !== instance) told.clear();
-    toldBy = instance;
+    if (tableFrom !== instance) remote.clear();
+    tableFrom = instance;
     for (const heard of heardDataCentres) dataCentresHeardMs.set(heard, nowMs);
-    told.set(`${instance}/${part}`, shares, true, nowMs);
+    remote.set(`${instance}/${part}`, shares, true, nowMs);
   }
 
   return {
     advance(nowMs) {
-      if (periods % FLEET_PERIODS === 0) updateFleet();
+      if (periods % FLEET_REFRESH_PERIODS === 0) updateFleet();
       periods += 1;
-      told.advance(nowMs, TOLD_AGE_MAX_MS);
-      group.advance(nowMs, TOLD_AGE_MAX_MS);
-      removeSilent(nowMs);
+      remote.removeExpired(nowMs, REMOTE_LOAD_AGE_MAX_MS);
+      groupLoads.removeExpired(nowMs, REMOTE_LOAD_AGE_MAX_MS);
+      removeExpired(nowMs);
       updateRole();
-      if (!isHead) updateHead(nowMs);
-      return buildTellings(nowMs);
+      if (!isAggregator) updateAggregator(nowMs);
+      return buildUpdates(nowMs);
     },
-    handle(telling, nowMs) {
-      dataCentresHeardMs.set(telling.dataCentre, nowMs);
-      switch (telling.scope) {
+    handle(update, nowMs) {
+      dataCentresHeardMs.set(update.dataCentre, nowMs);
+      switch (update.scope) {
         case LOAD_SCOPE.Own:
-          handleReport(telling, nowMs);
+          handleReport(update, nowMs);
           break;
         case LOAD_SCOPE.Group:
-          handleGroup(telling, nowMs);
+          handleGroupLoad(update, nowMs);
           break;
         case LOAD_SCOPE.Others:
-          handleOthers(telling, nowMs);
+          handleFleetLoad(update, nowMs);
           break;
         default:
-          assertNever(telling.scope);
+          assertNever(update.scope);
       }
     },
   };
--- a/src/placement/choose-endpoint.test.ts
+++ b/src/placement/choose-endpoint.test.ts
@@ -41,7 +41,7 @@
     excluded: [],
     isCut: () => false,
     isAvoided: () => false,
-    loads: createKnownLoads(),
+    loads: createTrainedLoads(),
     random: createRandom(7),
     targetMs: 1500,
     eventsExpected: 0,
@@ -57,7 +57,7 @@
 const TOKEN_MS = 1 / 112;
 
 /** Loads that know the engines' pace from prompts read elsewhere. */
-function createKnownLoads(): EndpointLoads {
+function createTrainedLoads(): EndpointLoads {
   const loads = createEndpointLoads();
   for (let count = 0; count < 20; count += 1) {
     const tokens = 1000 + count * 500;
@@ -77,7 +77,7 @@
 const PAUSE_MS_PER_CALL = 1;
 
 /** Lets loads learn how pauses grow with calls, from streams at an engine of its own. */
-function addPaces(loads: EndpointLoads): void {
+function addStreamPauses(loads: EndpointLoads): void {
   const engine = buildEndpoint('streaming');
   for (let running = 1; running <= 20; running += 1) {
     const ticket = loads.start(engine, 0, 0);
@@ -88,10 +88,13 @@
 }
 
 /** Plays histories with kept parts on six engines; returns tokens read and the longest reading queue. */
-function runHistories(choose: (input: ChoiceInput) => string): { read: number; longestMs: number } {
+function runSharedPrompts(choose: (input: ChoiceInput) => string): {
+  read: number;
+  longestMs: number;
+} {
   const random = createRandom(11);
-  const loads = createKnownLoads();
-  const kept = new Map<string, Set<string>>();
+  const loads = createTrainedLoads();
+  const cachedParts = new Map<string, Set<string>>();
   const freeAtMs = new Map<string, number>();
   let read = 0;
   let longestMs = 0;
@@ -99,9 +102,9 @@
     const nowMs = count * 30;
     const part = `part-${random.nextIndex(150)}`;
     const chosen = choose(buildInput({ prompt: buildPrompt(part, 13_300, 3720), loads, random }));
-    const parts = kept.get(chosen) ?? new Set();
+    const parts = cachedParts.get(chosen) ?? new Set();
     const tokens = 3720 + (parts.has(part) ? 0 : 13_300);
-    kept.set(chosen, parts.add(part));
+    cachedParts.set(chosen, parts.add(part));
     read += tokens;
     const doneMs = Math.max(nowMs, freeAtMs.get(chosen) ?? 0) + tokens * TOKEN_MS;
     freeAtMs.set(chosen, doneMs);
@@ -127,8 +130,8 @@
     // The load: one history in 30 ms over 150 shared parts of 13,300 tokens. Spread at random nearly
     // every part is read by every engine; kept together each is read once.
     it('reads far fewer tokens than spreading them', (t) => {
-      const together = runHistories((input) => chooseEndpoint(input)?.endpoint.id ?? '');
-      const spread = runHistories(
+      const together = runSharedPrompts((input) => chooseEndpoint(input)?.endpoint.id ?? '');
+      const spread = runSharedPrompts(
         ({ endpoints, random }) => endpoints[random.nextIndex(endpoints.length)]?.id ?? '',
       );
       t.true(together.read < spread.read * 0.8, `${together.read} against ${spread.read}`);
@@ -138,7 +141,7 @@
     // One part is asked for far more than others; its engine is behind by more than reading the part
     // elsewhere would take.
     it('leaves an engine that is too far behind', (t) => {
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       const prompt = buildPrompt('x', 2000, 1000);
       const home = chooseEndpoint(buildInput({ prompt, loads }))?.endpoint.id ?? '';
       loads.start(buildEndpoint(home), 20_000, 0);
@@ -154,11 +157,11 @@
     // to 50: each call adds to every step, and a lookup takes 170 of them. Proved by a played day: 205 of
     // 248 logged lookups of a burst went to one of three engines.
     it('keeps long answers from an engine where many calls lengthen each step', (t) => {
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       const endpoints = ['a', 'b'].map((id) => buildEndpoint(id));
       addRunning(loads, 'a', 90, 0);
       addRunning(loads, 'b', 30, 20_000);
-      addPaces(loads);
+      addStreamPauses(loads);
       const lookup = { endpoints, prompt: buildPrompt('x', 0, 1110), loads, targetMs: 300 };
       const placements = [3, 34].map(
         (eventsExpected) => chooseEndpoint(buildInput({ ...lookup, eventsExpected }))?.endpoint.id,
@@ -171,7 +174,7 @@
     // is about to be late goes where the part must be read first.
     it('leaves a home without a free slot only when time runs out', (t) => {
       const endpoints = ['a', 'b', 'c'].map((id) => ({ ...buildEndpoint(id), slots: 16 }));
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       const input = { endpoints, prompt: buildPrompt('x', 6300, 2890), loads };
       const home = chooseEndpoint(buildInput(input))?.endpoint.id ?? '';
       for (let count = 0; count < 20; count += 1) loads.start(buildEndpoint(home), 0, 0);
@@ -180,17 +183,17 @@
     });
 
     it('counts what other instances tell of an engine', (t) => {
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       const prompt = buildPrompt('x', 200, 1000);
       const home = chooseEndpoint(buildInput({ prompt, loads }))?.endpoint.id ?? '';
-      loads.told.set(
+      loads.remote.set(
         'other',
         [buildShare({ endpoint: home, running: 4, unreadTokens: 30_000 })],
         true,
         0,
       );
       t.not(chooseEndpoint(buildInput({ prompt, loads }))?.endpoint.id, home);
-      loads.told.advance(5000, 1000);
+      loads.remote.removeExpired(5000, 1000);
       t.is(chooseEndpoint(buildInput({ prompt, loads }))?.endpoint.id, home);
     });
   });
@@ -199,7 +202,7 @@
     /** Plays 20 s of calls at 15 a second on six endpoints, `a` of which fails 45% of them at once; returns how many failed. */
     function countFailed(prompt: (count: number) => PromptShape | undefined): number {
       const random = createRandom(5);
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       const ending: { ticket: LoadTicket; atMs: number }[] = [];
       let failed = 0;
       for (let count = 0; count < 300; count += 1) {
@@ -236,25 +239,25 @@
     });
 
     it('believes what instances of the own data centre tell, while they tell it', (t) => {
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       const failing = buildShare({ answers: 9, failures: 5 });
-      loads.told.set('far', [failing], false, 0);
-      t.is(loads.computeFailureShare('a', 0), 0);
-      loads.told.set('near', [failing], true, 0);
-      t.true(loads.computeFailureShare('a', 0) > 0.3);
-      loads.told.advance(5000, 1000);
-      t.is(loads.computeFailureShare('a', 5000), 0);
+      loads.remote.set('far', [failing], false, 0);
+      t.is(loads.getFailureRate('a', 0), 0);
+      loads.remote.set('near', [failing], true, 0);
+      t.true(loads.getFailureRate('a', 0) > 0.3);
+      loads.remote.removeExpired(5000, 1000);
+      t.is(loads.getFailureRate('a', 5000), 0);
     });
 
     it('trusts it again after a while, and forgives a single failure', (t) => {
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       loads.start(buildEndpoint('a'), 0, 0).recordEnd(ENDPOINT_VERDICT.Errored, 0);
-      t.is(loads.computeFailureShare('a', 0), 0);
+      t.is(loads.getFailureRate('a', 0), 0);
       for (let count = 0; count < 4; count += 1) {
         loads.start(buildEndpoint('a'), 0, 0).recordEnd(ENDPOINT_VERDICT.Errored, 0);
       }
-      t.true(loads.computeFailureShare('a', 0) > 0.5);
-      t.is(loads.computeFailureShare('a', 10_000), 0);
+      t.true(loads.getFailureRate('a', 0) > 0.5);
+      t.is(loads.getFailureRate('a', 10_000), 0);
     });
   });
 
@@ -272,7 +275,7 @@
     // An endpoint crashed; its entry stays for some seconds. After one refused connection it gets no
     // further call, then one at a time until it answers.
     it('sets an unreachable endpoint aside and asks it again with one call', (t) => {
-      const loads = createKnownLoads();
+      const loads = createTrainedLoads();
       const endpoints = [buildEndpoint('dead'), buildEndpoint('live')];
       loads.start(buildEndpoint('dead'), 0, 0).recordEnd(ENDPOINT_VERDICT.Unreachable, 0);
       for (let count = 0; count < 5; count += 1) {
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -11,25 +11,25 @@
 import type { PromptShape } from '../calls/call-messages.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import type { Random } from '../utils/random.js';
-import { computePromptCost, findHome } from './engine-model.js';
-import type { PromptCost } from './engine-model.js';
-import type { EndpointLoads, PoolPace } from './endpoint-loads.js';
+import { computePromptCost, findHomeEndpoint } from './prompt-cost.js';
+import type { PromptCost } from './prompt-cost.js';
+import type { EndpointLoads, PoolTiming } from './endpoint-loads.js';
 
 /**
  * How much more a token of a shared part weighs when it has to be read again than one that waits: it
  * takes engine time from all others and evicts what is kept, which is then read again as well.
  */
-const REREAD_WEIGHT = 20;
+const PREFIX_MISS_WEIGHT = 20;
 /**
  * Part of a call's target in which its whole prompt is assumed to be read until its pool's first prompts
  * were, within a second of traffic: targets are declared for engines that can meet them.
  */
-const READING_ASSUMED = 0.2;
+const ASSUMED_READ_SHARE = 0.2;
 /**
  * Parts of the call's target that an engine whose slots are all taken costs: running calls lengthen each
  * step, and so the call's own stream.
  */
-const RUNNING_SHARE = 0.4;
+const FULL_ENGINE_COST_SHARE = 0.4;
 /**
  * How much a millisecond by which calls under way lengthen an answer weighs against one before it
  * begins.
@@ -38,22 +38,22 @@
  * behind: it shows as one engine with over a hundred calls and streams that outlast their callers while
  * others have a third of that. The whole millisecond would drive calls from their shared parts.
  */
-const LENGTHENED_WEIGHT = 0.25;
+const STREAM_DELAY_WEIGHT = 0.25;
 /**
  * How much more a wait for a slot counts for a call that is about to miss its target, so that it leaves
  * a full home for an engine that must read the shared part first. No wait counts more than the target:
  * late is late, and in a fleet without free slots calls would leave their homes for nothing.
  */
-const QUEUED_HURRY = 3;
+const QUEUE_URGENCY_FACTOR = 3;
 /**
  * Part of its target that it costs an urgent call to go where long prompts are read, which may make its
  * stream late through a pause.
  */
-const DISTURBED_SHARE = 0.5;
+const INTERFERENCE_COST_SHARE = 0.5;
 /** Times its target that a certain failure costs a call: what may be sent once only is lost with it. */
-const FAILURE_TARGETS = 8;
+const FAILURE_COST_TARGETS = 8;
 /** The same for plain calls, in times that an endpoint is full: there the next try costs a place in the queue and a second try. */
-const FAILURE_FULLNESS = 2;
+const FAILURE_COST_UTILIZATION = 2;
 
 /** What a choice depends on. */
 export interface ChoiceInput {
@@ -85,13 +85,13 @@
   const { endpoints, excluded, loads, nowMs } = input;
   const untried = endpoints.filter(({ id }) => !excluded.includes(id));
   const dataCentres = new Set(untried.map(({ dataCentre }) => dataCentre));
-  const cut = [...dataCentres].filter((dataCentre) => input.isCut(dataCentre));
-  const near = untried.filter(({ dataCentre }) => !cut.includes(dataCentre));
-  const sound = near.filter(({ startId }) => !loads.isSuspect(startId, nowMs));
-  const free = sound.filter((endpoint) => !input.isAvoided(endpoint));
-  if (free.length > 0) return free;
-  if (sound.length > 0) return sound;
-  return near.length > 0 ? near : untried;
+  const unreachable = [...dataCentres].filter((dataCentre) => input.isCut(dataCentre));
+  const reachable = untried.filter(({ dataCentre }) => !unreachable.includes(dataCentre));
+  const healthy = reachable.filter(({ startId }) => !loads.isSuspect(startId, nowMs));
+  const preferred = healthy.filter((endpoint) => !input.isAvoided(endpoint));
+  if (preferred.length > 0) return preferred;
+  if (healthy.length > 0) return healthy;
+  return reachable.length > 0 ? reachable : untried;
 }
 
 /** The candidate with the least cost; among equals any. */
@@ -121,13 +121,13 @@
   readonly readTokens: number;
 }
 
-function choosePlain(
+function chooseLeastLoaded(
   candidates: readonly RegisteredEndpoint[],
   { loads, random, nowMs }: ChoiceInput,
 ): Placement | undefined {
   const endpoint = chooseCheapest(candidates, random, ({ startId, slots }) => {
-    const fullness = (loads.get(startId).running + 1) / Math.max(1, slots);
-    return fullness + loads.computeFailureShare(startId, nowMs) * FAILURE_FULLNESS;
+    const utilization = (loads.get(startId).running + 1) / Math.max(1, slots);
+    return utilization + loads.getFailureRate(startId, nowMs) * FAILURE_COST_UTILIZATION;
   });
   return endpoint === undefined ? undefined : { endpoint, readTokens: 0 };
 }
@@ -135,29 +135,29 @@
 /** A prompt that is to be placed, with what is the same for all candidates. */
 interface PromptChoice extends PromptCost {
   readonly input: ChoiceInput;
-  readonly pace: PoolPace;
+  readonly timing: PoolTiming;
   readonly msPerToken: number;
   /** What it costs to read the shared parts again, in milliseconds: no engine but the home costs less. */
   readonly rereadMs: number;
 }
 
 function buildPromptChoice(input: ChoiceInput, pool: string, cost: PromptCost): PromptChoice {
-  const pace = input.loads.getPoolPace(pool);
+  const timing = input.loads.getPoolPace(pool);
   const tokens = Math.max(1, cost.sharedTokens + cost.ownTokens);
-  const msPerToken = pace.reading?.msPerToken ?? (input.targetMs * READING_ASSUMED) / tokens;
-  const rereadMs = cost.sharedTokens * msPerToken * REREAD_WEIGHT;
-  return { ...cost, input, pace, msPerToken, rereadMs };
+  const msPerToken = timing.reading?.msPerToken ?? (input.targetMs * ASSUMED_READ_SHARE) / tokens;
+  const rereadMs = cost.sharedTokens * msPerToken * PREFIX_MISS_WEIGHT;
+  return { ...cost, input, timing, msPerToken, rereadMs };
 }
 
 /** What the calls under way at an engine cost the call, in milliseconds: each adds to every pause of its answer. */
 function computeRunningMs(
-  { input: { targetMs, eventsExpected }, pace }: PromptChoice,
+  { input: { targetMs, eventsExpected }, timing }: PromptChoice,
   running: number,
   slots: number,
 ): number {
   const counted = Math.min(slots, running);
-  const lengthenedMs = counted * pace.pauseMsPerCall * eventsExpected * LENGTHENED_WEIGHT;
-  return Math.max((counted / slots) * targetMs * RUNNING_SHARE, lengthenedMs);
+  const streamDelayMs = counted * timing.pauseMsPerCall * eventsExpected * STREAM_DELAY_WEIGHT;
+  return Math.max((counted / slots) * targetMs * FULL_ENGINE_COST_SHARE, streamDelayMs);
 }
 
 /** What it costs to send a prompt to an engine, in milliseconds that its first answer is later or may as well be. */
@@ -166,22 +166,22 @@
   candidate: RegisteredEndpoint,
   isHome: boolean,
 ): number {
-  const { input, pace, ownTokens, msPerToken } = choice;
+  const { input, timing, ownTokens, msPerToken } = choice;
   const { loads, targetMs, waitedShare, nowMs } = input;
   const { startId, slots } = candidate;
   const { unreadTokens, running } = loads.get(startId);
-  const readMs = (unreadTokens + ownTokens) * msPerToken * loads.computeSlowness(candidate, nowMs);
-  const hurry = 1 + QUEUED_HURRY * waitedShare;
-  const queuedMs = (Math.max(0, running + 1 - slots) * pace.meanRunMs) / slots;
-  const failingMs = loads.computeFailureShare(startId, nowMs) * targetMs * FAILURE_TARGETS;
-  const isDisturbed = input.reserved.size > 0 && !input.reserved.has(candidate.id);
+  const readMs = (unreadTokens + ownTokens) * msPerToken * loads.getSlowdown(candidate, nowMs);
+  const urgencyFactor = 1 + QUEUE_URGENCY_FACTOR * waitedShare;
+  const queuedMs = (Math.max(0, running + 1 - slots) * timing.meanRunMs) / slots;
+  const failingMs = loads.getFailureRate(startId, nowMs) * targetMs * FAILURE_COST_TARGETS;
+  const hasInterference = input.reserved.size > 0 && !input.reserved.has(candidate.id);
   return (
     readMs +
     computeRunningMs(choice, running, slots) +
-    Math.min(targetMs, queuedMs * hurry) +
+    Math.min(targetMs, queuedMs * urgencyFactor) +
     (isHome ? 0 : choice.rereadMs) +
     failingMs +
-    (input.isUrgent && isDisturbed ? targetMs * DISTURBED_SHARE : 0)
+    (input.isUrgent && hasInterference ? targetMs * INTERFERENCE_COST_SHARE : 0)
   );
 }
 
@@ -194,11 +194,15 @@
   readonly homes: readonly RegisteredEndpoint[];
 } {
   if (reserved.size === 0) return { allowed: candidates, homes: candidates };
-  const kept = candidates.filter(({ id }) => reserved.has(id));
-  const open = candidates.filter(({ id }) => !reserved.has(id));
-  if (isUrgent) return { allowed: candidates, homes: kept.length > 0 ? kept : candidates };
-  return open.length > 0
-    ? { allowed: open, homes: open }
+  const reservedEngines = candidates.filter(({ id }) => reserved.has(id));
+  const sharedEngines = candidates.filter(({ id }) => !reserved.has(id));
+  if (isUrgent)
+    return {
+      allowed: candidates,
+      homes: reservedEngines.length > 0 ? reservedEngines : candidates,
+    };
+  return sharedEngines.length > 0
+    ? { allowed: sharedEngines, homes: sharedEngines }
     : { allowed: candidates, homes: candidates };
 }
 
@@ -206,7 +210,7 @@
  * The engine that costs the prompt least. The home is looked at first: where nothing there costs as much
  * as reading the shared parts again, no other engine need be looked at, which is so for most calls.
  */
-function choosePrompted(
+function chooseForPrompt(
   choice: PromptChoice,
   allowed: readonly RegisteredEndpoint[],
   home: RegisteredEndpoint | undefined,
@@ -221,12 +225,12 @@
 export function chooseEndpoint(input: ChoiceInput): Placement | undefined {
   const candidates = listCandidates(input);
   const { prompt } = input;
-  if (prompt === undefined) return choosePlain(candidates, input);
+  if (prompt === undefined) return chooseLeastLoaded(candidates, input);
   const cost = computePromptCost(prompt);
   const { allowed, homes } = listEngines(input, candidates);
-  const home = findHome(cost.sharedPart, homes);
+  const home = findHomeEndpoint(cost.sharedPrefix, homes);
   const choice = buildPromptChoice(input, allowed[0]?.pool ?? '', cost);
-  const endpoint = choosePrompted(choice, allowed, home);
+  const endpoint = chooseForPrompt(choice, allowed, home);
   if (endpoint === undefined) return undefined;
   const rereadTokens = endpoint.id === home?.id ? 0 : cost.sharedTokens;
   return { endpoint, readTokens: cost.ownTokens + rereadTokens };
--- a/src/placement/endpoint-loads.ts
+++ b/src/placement/endpoint-loads.ts
@@ -7,22 +7,22 @@
 import { createMovingAverage } from '../utils/moving-average.js';
 import type { MovingAverage } from '../utils/moving-average.js';
 import type { DecayingSums } from '../utils/decaying-sums.js';
-import { computeFailureShare, createFailureCounts } from './failure-shares.js';
+import { computeFailureRate, createFailureCounts } from './failure-shares.js';
 import type { FailureCounts } from './failure-shares.js';
-import { createReadingFit } from './reading-fit.js';
-import type { ReadingFit, ReadingPace } from './reading-fit.js';
-import { buildReadingSample, computeSlowness, createReadingSums } from './reading-pace.js';
-import type { ReadingSums } from './reading-pace.js';
-import { createStreamPace } from './stream-pace.js';
-import type { StreamPace } from './stream-pace.js';
+import { createPrefillFit } from './reading-fit.js';
+import type { PrefillFit, PrefillSpeed } from './reading-fit.js';
+import { buildPrefillSample, computeSlowdown, createPrefillSums } from './reading-pace.js';
+import type { PrefillSums } from './reading-pace.js';
+import { createPauseModel } from './stream-pace.js';
+import type { PauseModel } from './stream-pace.js';
 import { createStreamTimes } from './stream-times.js';
 import type { StreamRecord } from './stream-times.js';
-import { createToldLoads, hashStart, mergeShares } from './told-loads.js';
-import type { EndpointKey, EndpointShareOfLoad, FleetLoad, ToldLoads } from './told-loads.js';
+import { createRemoteLoads, hashStart, mergeShares } from './told-loads.js';
+import type { EndpointKey, EndpointShareOfLoad, FleetLoad, RemoteLoads } from './told-loads.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 
 /** Failures in a row after which an endpoint is set aside: one may be the call's own. */
-const FAILURES_SUSPECT = 3;
+const SUSPECT_AFTER_FAILURES = 3;
 /** An endpoint set aside gets one call again after this long, in milliseconds: a crashed one is back in two seconds or later. */
 const PROBE_AFTER_MS = 1000;
 
@@ -51,9 +51,9 @@
 }
 
 /** What is known of how fast a pool's engines are. */
-export interface PoolPace {
+export interface PoolTiming {
   /** Undefined before enough prompts were read. */
-  readonly reading: ReadingPace | undefined;
+  readonly reading: PrefillSpeed | undefined;
   /** Mean time from a call's sending to the end of its answer, in milliseconds; 0 before the first. */
   readonly meanRunMs: number;
   /** What each call under way at an engine adds to the pauses of its streams, in milliseconds; 0 while unknown. */
@@ -69,12 +69,12 @@
   /** The same of all instances that can be heard, this one included. */
   listFleet(nowMs: number): EndpointShareOfLoad[];
   /** What others tell. */
-  readonly told: Omit<ToldLoads, 'get' | 'list' | 'listOf'>;
+  readonly remote: Omit<RemoteLoads, 'get' | 'list' | 'listOf'>;
   /** Which part of its calls the endpoint fails, 0 to 1. */
-  computeFailureShare(id: string, nowMs: number): number;
+  getFailureRate(id: string, nowMs: number): number;
   /** How many times longer than its pool's endpoints on the whole one takes to read prompts; 1 while nothing is known. */
-  computeSlowness(endpoint: RegisteredEndpoint, nowMs: number): number;
-  getPoolPace(pool: string): PoolPace;
+  getSlowdown(endpoint: RegisteredEndpoint, nowMs: number): number;
+  getPoolPace(pool: string): PoolTiming;
   /** The mean pause of streams at an engine of the pool with that many calls, in milliseconds; undefined while unknown. */
   predictPauseMs(pool: string, running: number, nowMs: number): number | undefined;
   /** Whether own calls say that the endpoint should be passed over for now. */
@@ -95,8 +95,8 @@
 /** Weight of the newest call in the mean time that calls take: some fifty are in force. */
 const RUN_ALPHA = 0.02;
 /** Own sums below these are not told: they no longer change a choice. */
-const TOLD_FAILURES_MIN = 0.1;
-const TOLD_READING_MS_MIN = 50;
+const REPORTED_FAILURES_MIN = 0.1;
+const REPORTED_READ_MS_MIN = 50;
 
 interface LoadState {
   running: number;
@@ -105,20 +105,20 @@
   failuresInRow: number;
   lastFailureMs: number;
   readonly failures: DecayingSums<keyof FailureCounts>;
-  readonly reading: DecayingSums<keyof ReadingSums>;
+  readonly prefill: DecayingSums<keyof PrefillSums>;
 }
 
 /** What own calls tell of a pool's engines. */
 interface PoolState {
-  readonly fit: ReadingFit;
+  readonly prefillFit: PrefillFit;
   readonly runMs: MovingAverage;
-  readonly pace: StreamPace;
+  readonly pauses: PauseModel;
 }
 
 /** Builds loads of which nothing is known. */
 export function createEndpointLoads(): EndpointLoads {
   const states = new Map<string, LoadState>();
-  const told = createToldLoads();
+  const remote = createRemoteLoads();
   const pools = new Map<string, PoolState>();
 
   /** Kept rather than computed at each choice, which asks for every endpoint of a pool. */
@@ -132,9 +132,9 @@
     return key;
   }
 
-  function readReading(id: string, nowMs: number): ReadingSums {
-    const own = states.get(id)?.reading.read(nowMs);
-    const other = told.get(getKey(id));
+  function readPrefill(id: string, nowMs: number): PrefillSums {
+    const own = states.get(id)?.prefill.read(nowMs);
+    const other = remote.get(getKey(id));
     return {
       readTokens: (own?.readTokens ?? 0) + other.readTokens,
       readMs: (own?.readMs ?? 0) + other.readMs,
@@ -148,9 +148,9 @@
   ): EndpointShareOfLoad | undefined {
     const { running, urgent, unreadTokens } = state;
     const { answers, failures } = state.failures.read(nowMs);
-    const { readTokens, readMs } = state.reading.read(nowMs);
-    const isQuiet = failures < TOLD_FAILURES_MIN && readMs < TOLD_READING_MS_MIN;
-    if (running === 0 && isQuiet) return undefined;
+    const { readTokens, readMs } = state.prefill.read(nowMs);
+    const isNegligible = failures < REPORTED_FAILURES_MIN && readMs < REPORTED_READ_MS_MIN;
+    if (running === 0 && isNegligible) return undefined;
     const endpoint = getKey(id);
     return { endpoint, running, urgent, unreadTokens, answers, failures, readTokens, readMs };
   }
@@ -165,7 +165,7 @@
       failuresInRow: 0,
       lastFailureMs: -Infinity,
       failures: createFailureCounts(),
-      reading: createReadingSums(),
+      prefill: createPrefillSums(),
     };
     states.set(id, state);
     return state;
@@ -184,7 +184,7 @@
         state.lastFailureMs = nowMs;
         break;
       case ENDPOINT_VERDICT.Unreachable:
-        state.failuresInRow = Math.max(FAILURES_SUSPECT, state.failuresInRow + 1);
+        state.failuresInRow = Math.max(SUSPECT_AFTER_FAILURES, state.failuresInRow + 1);
         state.lastFailureMs = nowMs;
         break;
       default:
@@ -196,9 +196,9 @@
     const known = pools.get(name);
     if (known !== undefined) return known;
     const pool: PoolState = {
-      fit: createReadingFit(),
+      prefillFit: createPrefillFit(),
       runMs: createMovingAverage(RUN_ALPHA),
-      pace: createStreamPace(),
+      pauses: createPauseModel(),
     };
     pools.set(name, pool);
     return pool;
@@ -206,7 +206,7 @@
 
   function getLoad(id: string): FleetLoad {
     const own = states.get(id);
-    const other = told.get(getKey(id));
+    const other = remote.get(getKey(id));
     return {
       running: (own?.running ?? 0) + other.running,
       urgent: (own?.urgent ?? 0) + other.urgent,
@@ -226,7 +226,7 @@
     const before = getLoad(startId);
     const aheadTokens = before.unreadTokens + unreadTokens;
     // What waits for a slot or behind other prompts tells nothing of the engine's own speed.
-    const isAlone = before.unreadTokens === 0 && before.running < slots;
+    const isUnqueued = before.unreadTokens === 0 && before.running < slots;
     let unread = unreadTokens;
     const stream = createStreamTimes();
     let loadAtLast = before;
@@ -236,33 +236,33 @@
     state.urgent += urgent;
     state.unreadTokens += unread;
 
-    function removeUnread(): void {
+    function releaseUnread(): void {
       state.unreadTokens -= unread;
       unread = 0;
     }
 
-    function recordFirst(tookMs: number, nowMs: number): void {
-      removeUnread();
+    function recordFirstEvent(tookMs: number, nowMs: number): void {
+      releaseUnread();
       if (unreadTokens === 0) return;
-      if (isAlone) pool.fit.add(unreadTokens, tookMs);
-      const pace = pool.fit.get();
-      if (pace === undefined) return;
-      state.reading.add(buildReadingSample(aheadTokens, tookMs, pace), nowMs);
+      if (isUnqueued) pool.prefillFit.add(unreadTokens, tookMs);
+      const speed = pool.prefillFit.get();
+      if (speed === undefined) return;
+      state.prefill.add(buildPrefillSample(aheadTokens, tookMs, speed), nowMs);
     }
 
     return {
       recordEvent(nowMs) {
-        if (stream.get().events === 0) recordFirst(nowMs - startedMs, nowMs);
+        if (stream.get().events === 0) recordFirstEvent(nowMs - startedMs, nowMs);
         const running = Math.min(slots, loadAtLast.running);
         loadAtLast = getLoad(startId);
         const pauseMs = stream.recordEvent(nowMs, loadAtLast);
-        if (pauseMs !== undefined) pool.pace.add(pauseMs, running, nowMs);
+        if (pauseMs !== undefined) pool.pauses.add(pauseMs, running, nowMs);
       },
       getStream: () => stream.get(),
       recordEnd(verdict, nowMs) {
         if (isEnded) return;
         isEnded = true;
-        removeUnread();
+        releaseUnread();
         state.running -= 1;
         state.urgent -= urgent;
         recordVerdict(state, verdict, nowMs);
@@ -283,32 +283,32 @@
   return {
     get: getLoad,
     listOwn,
-    listFleet: (nowMs) => mergeShares([listOwn(nowMs), told.list()]),
-    told,
-    computeFailureShare(id, nowMs) {
+    listFleet: (nowMs) => mergeShares([listOwn(nowMs), remote.list()]),
+    remote,
+    getFailureRate(id, nowMs) {
       const own = states.get(id)?.failures.read(nowMs);
-      const other = told.get(getKey(id));
-      return computeFailureShare({
+      const other = remote.get(getKey(id));
+      return computeFailureRate({
         answers: (own?.answers ?? 0) + other.answers,
         failures: (own?.failures ?? 0) + other.failures,
       });
     },
-    computeSlowness({ startId, pool }, nowMs) {
-      const pace = getPool(pool).fit.get();
-      return pace === undefined ? 1 : computeSlowness(readReading(startId, nowMs), pace);
+    getSlowdown({ startId, pool }, nowMs) {
+      const speed = getPool(pool).prefillFit.get();
+      return speed === undefined ? 1 : computeSlowdown(readPrefill(startId, nowMs), speed);
     },
     getPoolPace(name) {
-      const { fit, runMs, pace } = getPool(name);
+      const { prefillFit, runMs, pauses } = getPool(name);
       return {
-        reading: fit.get(),
+        reading: prefillFit.get(),
         meanRunMs: runMs.get(0),
-        pauseMsPerCall: pace.getMsPerCall(),
+        pauseMsPerCall: pauses.getMsPerCall(),
       };
     },
-    predictPauseMs: (name, running, nowMs) => getPool(name).pace.predictPauseMs(running, nowMs),
+    predictPauseMs: (name, running, nowMs) => getPool(name).pauses.predictPauseMs(running, nowMs),
     isSuspect(id, nowMs) {
       const state = states.get(id);
-      if (state === undefined || state.failuresInRow < FAILURES_SUSPECT) return false;
+      if (state === undefined || state.failuresInRow < SUSPECT_AFTER_FAILURES) return false;
       // One call at a time finds out whether it is back.
       return state.running > 0 || nowMs - state.lastFailureMs < PROBE_AFTER_MS;
     },
--- a/src/placement/engine-reserve.ts
+++ b/src/placement/engine-reserve.ts
@@ -19,17 +19,17 @@
 import type { MovingAverage } from '../utils/moving-average.js';
 
 /** Streams that must have ended at engines which nobody keeps before their pauses decide. */
-const STREAMS_TRUSTED = 20;
+const STREAM_SAMPLES_MIN = 20;
 /** Part of these streams that must have paused for longer than the most urgent declare: below it, engines apart would cost more room than pauses cost. */
 const LATE_SHARE_MIN = 0.1;
 /** Until then a pool of so many engines keeps some: an instance of hundreds sees two calls a second, and crowds come with the first. In a smaller pool one engine more or less is felt. */
-const ENGINES_ASSUMED = 24;
+const DEFAULT_RESERVE_POOL_MIN = 24;
 /** Less urgent prompts must be so many times as long as urgent ones, in the mean, or the urgent disturb each other as much. */
-const SIZE_FACTOR_MIN = 2;
+const PROMPT_SIZE_RATIO_MIN = 2;
 /** Part of the slots of the engines kept that urgent calls take at their peak: a crowd comes faster than engines change their use. */
-const FILL = 0.5;
+const TARGET_UTILIZATION = 0.5;
 /** Part of their declared pause that the urgent calls of one engine may add to each other's pauses. */
-const PAUSE_SHARE_MAX = 0.25;
+const ADDED_PAUSE_SHARE_MAX = 0.25;
 /** Part of a pool that is kept at least, where any is: the first calls of a crowd come before anybody has told of them. */
 const POOL_SHARE_MIN = 0.06;
 /** Part of a pool that is kept at most: nobody may starve. */
@@ -81,10 +81,10 @@
   peak: number;
   size: number;
   endpoints: readonly RegisteredEndpoint[];
-  kept: ReadonlySet<string>;
+  reserved: ReadonlySet<string>;
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_ENGINES: ReadonlySet<string> = new Set();
 
 /** Whether less urgent prompts are long, and streams beside them pause for too long for the urgent. */
 function isUseful(
@@ -92,29 +92,33 @@
   { endpoints, urgentPauseMs }: ReserveInput,
 ): boolean {
   if (!Number.isFinite(urgentPauseMs)) return false;
-  if (urgentTokens.get(0) * SIZE_FACTOR_MIN > otherTokens.get(0)) return false;
-  if (lateShare.count() < STREAMS_TRUSTED) return endpoints.length >= ENGINES_ASSUMED;
+  if (urgentTokens.get(0) * PROMPT_SIZE_RATIO_MIN > otherTokens.get(0)) return false;
+  if (lateShare.count() < STREAM_SAMPLES_MIN) return endpoints.length >= DEFAULT_RESERVE_POOL_MIN;
   return lateShare.get(0) > LATE_SHARE_MIN;
 }
 
 /** How many engines the peak of urgent calls needs. */
-function computeWanted(peak: number, input: ReserveInput): number {
+function computeTargetSize(peak: number, input: ReserveInput): number {
   const { endpoints, pauseMsPerCall, urgentPauseMs } = input;
   const slots = endpoints.reduce((sum, endpoint) => sum + endpoint.slots, 0) / endpoints.length;
-  const paced = pauseMsPerCall > 0 ? (urgentPauseMs * PAUSE_SHARE_MAX) / pauseMsPerCall : Infinity;
-  const needed = Math.ceil(peak / Math.max(1, Math.min(slots * FILL, paced)));
+  const maxPerEngine =
+    pauseMsPerCall > 0 ? (urgentPauseMs * ADDED_PAUSE_SHARE_MAX) / pauseMsPerCall : Infinity;
+  const needed = Math.ceil(peak / Math.max(1, Math.min(slots * TARGET_UTILIZATION, maxPerEngine)));
   const least = Math.ceil(endpoints.length * POOL_SHARE_MIN);
   const most = Math.max(1, Math.floor(endpoints.length * POOL_SHARE_MAX));
   return Math.min(most, Math.max(least, needed));
 }
 
 /** Grows at once and shrinks late: each change moves the homes of shared parts. */
-function computeSize(size: number, wanted: number): number {
-  return wanted > size || wanted < size * (1 - SHRINK_SHARE) ? wanted : size;
+function computeSize(size: number, target: number): number {
+  return target > size || target < size * (1 - SHRINK_SHARE) ? target : size;
 }
 
 /** The engines that rank highest: the same everywhere, and few others when one comes or goes. */
-function chooseKept(endpoints: readonly RegisteredEndpoint[], size: number): ReadonlySet<string> {
+function chooseReserved(
+  endpoints: readonly RegisteredEndpoint[],
+  size: number,
+): ReadonlySet<string> {
   const ranked = endpoints
     .map(({ id }) => ({ id, rank: hashName(`${id}|reserve`) }))
     .sort((a, b) => b.rank - a.rank);
@@ -136,7 +140,7 @@
       peak: 0,
       size: 0,
       endpoints: [],
-      kept: NOBODY,
+      reserved: NO_ENGINES,
     };
     pools.set(name, pool);
     return pool;
@@ -144,16 +148,18 @@
 
   function updateSize(pool: PoolReserve, input: ReserveInput, nowMs: number): void {
     const sinceMs = nowMs - pool.updatedMs;
-    const faded = Number.isFinite(sinceMs) ? pool.peak * 0.5 ** (sinceMs / PEAK_HALF_LIFE_MS) : 0;
+    const decayedPeak = Number.isFinite(sinceMs)
+      ? pool.peak * 0.5 ** (sinceMs / PEAK_HALF_LIFE_MS)
+      : 0;
     const urgent = input.endpoints.reduce(
       (sum, { startId }) => sum + input.countUrgent(startId),
       0,
     );
     pool.updatedMs = nowMs;
-    pool.peak = Math.max(faded, urgent);
+    pool.peak = Math.max(decayedPeak, urgent);
     // With one engine there is nothing to keep apart.
-    const isPossible = input.endpoints.length > 1 && isUseful(pool, input);
-    pool.size = isPossible ? computeSize(pool.size, computeWanted(pool.peak, input)) : 0;
+    const isEnabled = input.endpoints.length > 1 && isUseful(pool, input);
+    pool.size = isEnabled ? computeSize(pool.size, computeTargetSize(pool.peak, input)) : 0;
   }
 
   return {
@@ -162,9 +168,9 @@
       (isUrgent ? urgentTokens : otherTokens).add(readTokens);
     },
     recordStream(name, { endpoint, longestPauseMs, urgentPauseMs }) {
-      const { kept, lateShare } = getPool(name);
+      const { reserved, lateShare } = getPool(name);
       // Of the engines that are kept, only what others suffer would tell whether they should be.
-      if (!kept.has(endpoint)) lateShare.add(longestPauseMs > urgentPauseMs ? 1 : 0);
+      if (!reserved.has(endpoint)) lateShare.add(longestPauseMs > urgentPauseMs ? 1 : 0);
     },
     choose(name, input, nowMs) {
       const pool = getPool(name);
@@ -172,9 +178,9 @@
       if (nowMs - pool.updatedMs >= UPDATE_PERIOD_MS) updateSize(pool, input, nowMs);
       if (pool.size !== before || pool.endpoints !== input.endpoints) {
         pool.endpoints = input.endpoints;
-        pool.kept = pool.size === 0 ? NOBODY : chooseKept(input.endpoints, pool.size);
+        pool.reserved = pool.size === 0 ? NO_ENGINES : chooseReserved(input.endpoints, pool.size);
       }
-      return pool.kept;
+      return pool.reserved;
     },
   };
 }
--- a/src/placement/failure-shares.ts
+++ b/src/placement/failure-shares.ts
@@ -18,8 +18,8 @@
 /** Time after which a call counts half, in milliseconds: an endpoint that recovered is trusted again within a few of these, and a pool of six at 15 calls a second shows five to ten calls of each in one. */
 const HALF_LIFE_MS = 3000;
 /** Failures that any endpoint is allowed, and answers that stand in for those not seen yet: one failure alone may be the call's own. */
-const FAILURES_FORGIVEN = 1;
-const ANSWERS_ASSUMED = 2;
+const FAILURES_TOLERATED = 1;
+const PRIOR_ANSWERS = 2;
 
 /** Builds the counts of one endpoint. */
 export function createFailureCounts(): DecayingSums<keyof FailureCounts> {
@@ -27,6 +27,6 @@
 }
 
 /** The part of its calls that an endpoint fails, 0 to 1. */
-export function computeFailureShare({ answers, failures }: FailureCounts): number {
-  return Math.max(0, failures - FAILURES_FORGIVEN) / (answers + ANSWERS_ASSUMED);
+export function computeFailureRate({ answers, failures }: FailureCounts): number {
+  return Math.max(0, failures - FAILURES_TOLERATED) / (answers + PRIOR_ANSWERS);
 }
--- a/src/placement/hold-back.test.ts
+++ b/src/placement/hold-back.test.ts
@@ -7,7 +7,7 @@
   ranks: 3,
   running: 4,
   slots: 16,
-  isApart: false,
+  isIsolated: false,
   pauseMs: 40,
   urgentPauseMs: 200,
   receivedMs: 0,
@@ -15,7 +15,7 @@
   nowMs: 100,
 };
 /** Later than the share of its time that a call may wait. */
-const LAST_MS = 3300;
+const WAIT_EXHAUSTED_MS = 3300;
 
 describe('holding calls back', ({ describe: block }) => {
   block('whether', ({ it }) => {
@@ -33,7 +33,7 @@
     it('lets more in where only the next urgent may come', (t) => {
       const paced: AdmissionInput = { ...CALL, running: 10, pauseMs: 70, urgentPauseMs: 150 };
       t.is(chooseAdmission(paced), ADMISSION.Wait);
-      const apart: AdmissionInput = { ...paced, isApart: true, urgentPauseMs: 400 };
+      const apart: AdmissionInput = { ...paced, isIsolated: true, urgentPauseMs: 400 };
       t.is(chooseAdmission(apart), ADMISSION.Send);
       t.is(chooseAdmission({ ...apart, pauseMs: 90 }), ADMISSION.Wait);
     });
@@ -41,9 +41,18 @@
     // Engines stay busy for minutes: a history that waited on would be lost, and no class may starve.
     // Let in without a bound, histories fill the engine's queue, which then turns lookups away.
     it('ends while the call can still be served, by a bounded overflow or a refusal', (t) => {
-      t.is(chooseAdmission({ ...CALL, rank: 1, running: 19, nowMs: LAST_MS }), ADMISSION.Send);
-      t.is(chooseAdmission({ ...CALL, rank: 1, running: 20, nowMs: LAST_MS }), ADMISSION.Refuse);
-      t.is(chooseAdmission({ ...CALL, rank: 0, running: 60, nowMs: LAST_MS }), ADMISSION.Send);
+      t.is(
+        chooseAdmission({ ...CALL, rank: 1, running: 19, nowMs: WAIT_EXHAUSTED_MS }),
+        ADMISSION.Send,
+      );
+      t.is(
+        chooseAdmission({ ...CALL, rank: 1, running: 20, nowMs: WAIT_EXHAUSTED_MS }),
+        ADMISSION.Refuse,
+      );
+      t.is(
+        chooseAdmission({ ...CALL, rank: 0, running: 60, nowMs: WAIT_EXHAUSTED_MS }),
+        ADMISSION.Send,
+      );
     });
 
     // Engines of 128 slots with 60 calls under way take 46 ms a step: lookups declare pauses of 250 ms
@@ -61,7 +70,7 @@
       t.is(chooseAdmission({ ...slow, rank: 0, pauseMs: 240 }), ADMISSION.Send);
       t.is(chooseAdmission({ ...slow, pauseMs: undefined }), ADMISSION.Send);
       t.is(chooseAdmission({ ...slow, urgentPauseMs: Infinity }), ADMISSION.Send);
-      t.is(chooseAdmission({ ...slow, nowMs: LAST_MS }), ADMISSION.Refuse);
+      t.is(chooseAdmission({ ...slow, nowMs: WAIT_EXHAUSTED_MS }), ADMISSION.Refuse);
     });
 
     // Drafts are turned away, histories of twice their size begin. Both had one bound, and instances
--- a/src/placement/hold-back.ts
+++ b/src/placement/hold-back.ts
@@ -13,18 +13,18 @@
  * Part of the pause that more urgent routes declare up to which the least urgent calls are let in: the
  * mean pause at which a stream of three times the usual length still ends before its caller leaves.
  */
-const PAUSE_SHARE_LAST = 0.3;
+const PAUSE_SHARE_LOWEST_RANK = 0.3;
 /**
  * The same where the most urgent have engines of their own, as part of what the next declare: they are
  * harmed less by pauses than by slots that long prompts take.
  */
-const PAUSE_SHARE_APART = 0.22;
+const PAUSE_SHARE_ISOLATED = 0.22;
 /** Times that part for the first rank behind the most urgent. */
-const PAUSE_FACTOR_FIRST = 2;
+const PAUSE_FACTOR_SECOND_RANK = 2;
 /** Part of the slots that the least urgent calls leave to those between them and the most urgent. */
-const SLOTS_RESERVE_LAST = 0.125;
+const SLOT_RESERVE_LOWEST_RANK = 0.125;
 /** Part of an engine's slots that less urgent calls may fill whatever the pace: below it, fewer calls would not mend a slow engine. */
-const SLOTS_FLOOR = 0.25;
+const SLOT_SHARE_MIN = 0.25;
 /** A call that waited this share of the time it has is no longer held: what is left must do for its answer. */
 const WAIT_SHARE_MAX = 0.4;
 /**
@@ -52,7 +52,7 @@
   readonly running: number;
   readonly slots: number;
   /** Whether the most urgent streams have engines of their own and none of them runs at this one. */
-  readonly isApart: boolean;
+  readonly isIsolated: boolean;
   /** The mean pause of streams there if the call is let in, in milliseconds; undefined while unknown. */
   readonly pauseMs: number | undefined;
   /** The shortest pause that a more urgent route declares whose calls come to this engine, in milliseconds; infinite where none does. */
@@ -73,18 +73,18 @@
 }
 
 /** Whether letting the call in would slow down more urgent streams too much. */
-function isPaced(input: AdmissionInput): boolean {
-  const { running, slots, isApart, pauseMs, urgentPauseMs } = input;
+function isPauseLimited(input: AdmissionInput): boolean {
+  const { running, slots, isIsolated, pauseMs, urgentPauseMs } = input;
   if (pauseMs === undefined) return false;
-  const factor = 1 + (PAUSE_FACTOR_FIRST - 1) * computePrecedence(input);
-  const share = (isApart ? PAUSE_SHARE_APART : PAUSE_SHARE_LAST) * factor;
-  return running >= slots * SLOTS_FLOOR && pauseMs > urgentPauseMs * share;
+  const factor = 1 + (PAUSE_FACTOR_SECOND_RANK - 1) * computePrecedence(input);
+  const share = (isIsolated ? PAUSE_SHARE_ISOLATED : PAUSE_SHARE_LOWEST_RANK) * factor;
+  return running >= slots * SLOT_SHARE_MIN && pauseMs > urgentPauseMs * share;
 }
 
 /** Whether the engine has a slot for a call that more urgent ones go before. */
 function hasSlot(input: AdmissionInput, overflow: number): boolean {
   const { rank, ranks, running, slots } = input;
-  const reserve = (SLOTS_RESERVE_LAST * (rank - 1)) / Math.max(1, ranks - 2);
+  const reserve = (SLOT_RESERVE_LOWEST_RANK * (rank - 1)) / Math.max(1, ranks - 2);
   return running < slots * (1 - reserve) * overflow;
 }
 
@@ -95,14 +95,14 @@
  */
 export function chooseAdmission(input: AdmissionInput): Admission {
   const { rank, running, slots, receivedMs, deadlineMs, nowMs } = input;
-  const isLastMoment = nowMs - receivedMs >= (deadlineMs - receivedMs) * WAIT_SHARE_MAX;
+  const isWaitExhausted = nowMs - receivedMs >= (deadlineMs - receivedMs) * WAIT_SHARE_MAX;
   if (rank === 0) {
-    const isWaiting = !isLastMoment && running >= slots * URGENT_QUEUE_FACTOR;
+    const isWaiting = !isWaitExhausted && running >= slots * URGENT_QUEUE_FACTOR;
     return isWaiting ? ADMISSION.Wait : ADMISSION.Send;
   }
-  const hasRoom = hasSlot(input, isLastMoment ? OVERFLOW_FACTOR : 1) && !isPaced(input);
+  const hasRoom = hasSlot(input, isWaitExhausted ? OVERFLOW_FACTOR : 1) && !isPauseLimited(input);
   if (hasRoom) return ADMISSION.Send;
-  return isLastMoment ? ADMISSION.Refuse : ADMISSION.Wait;
+  return isWaitExhausted ? ADMISSION.Refuse : ADMISSION.Wait;
 }
 
 /** What the order of waiting calls depends on. */
@@ -117,13 +117,13 @@
 }
 
 /** Whether too little of its target is left for the call to be read. */
-function isLate({ receivedMs, targetMs, answerMs }: WaitingCall, nowMs: number): boolean {
+function isPastTarget({ receivedMs, targetMs, answerMs }: WaitingCall, nowMs: number): boolean {
   return nowMs - receivedMs + answerMs > targetMs;
 }
 
 /** The more urgent first; of equals those that can still be in time, the oldest of these first. */
 export function compareWaiting(a: WaitingCall, b: WaitingCall, nowMs: number): number {
   if (a.urgency !== b.urgency) return a.urgency - b.urgency;
-  const lateness = Number(isLate(a, nowMs)) - Number(isLate(b, nowMs));
+  const lateness = Number(isPastTarget(a, nowMs)) - Number(isPastTarget(b, nowMs));
   return lateness !== 0 ? lateness : a.receivedMs - b.receivedMs;
 }
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -39,7 +39,7 @@
   choose(
     call: RoutedCall,
     tried: readonly string[],
-    isAlone: boolean,
+    isCrashSuspect: boolean,
     nowMs: number,
   ): Placement | undefined;
   /**
@@ -110,9 +110,9 @@
   }
 
   return {
-    choose(call, tried, isAlone, nowMs) {
+    choose(call, tried, isCrashSuspect, nowMs) {
       const { route, pool } = call;
-      const prompt = isAlone ? undefined : call.prompt;
+      const prompt = isCrashSuspect ? undefined : call.prompt;
       const placement = chooseEndpoint({
         endpoints: options.listOpen(pool),
         isCut: options.isCut,
@@ -128,7 +128,7 @@
         waitedShare: Math.min(1, (nowMs - call.receivedMs) / route.targetMs),
         nowMs,
       });
-      if (placement === undefined || !isAlone) return placement;
+      if (placement === undefined || !isCrashSuspect) return placement;
       return { ...placement, readTokens: countTokens(call) };
     },
     chooseAdmission(call, { endpoint }, isBegun, nowMs) {
@@ -137,15 +137,15 @@
       const { running, urgent } = loads.get(endpoint.startId);
       const { slots } = endpoint;
       const { rank, ranks, urgentPauseMs, nextPauseMs } = options.getStanding(route, pool);
-      const isApart = urgent === 0 && chooseReserved(call, nowMs).size > 0;
+      const isIsolated = urgent === 0 && chooseReserved(call, nowMs).size > 0;
       return chooseAdmission({
         rank: isBegun ? 0 : rank,
         ranks,
         running,
         slots,
-        isApart,
+        isIsolated,
         pauseMs: loads.predictPauseMs(pool, Math.min(slots, running + 1), nowMs),
-        urgentPauseMs: isApart ? nextPauseMs : urgentPauseMs,
+        urgentPauseMs: isIsolated ? nextPauseMs : urgentPauseMs,
         receivedMs: call.receivedMs,
         deadlineMs: call.deadlineMs,
         nowMs,
--- a/src/placement/engine-model.ts
+++ b/src/placement/prompt-cost.ts
@@ -10,7 +10,7 @@
 /** A prompt as placing sees it. */
 export interface PromptCost {
   /** The last part that other prompts share; its place in the pool is chosen by it. */
-  readonly sharedPart: string;
+  readonly sharedPrefix: string;
   /** Tokens that an engine which holds the shared parts need not read. */
   readonly sharedTokens: number;
   readonly ownTokens: number;
@@ -26,7 +26,7 @@
     prompt.parts.reduce((sum, { tokens }) => sum + tokens, 0),
   );
   return {
-    sharedPart: `${prompt.model}|${shared.at(-1)?.id ?? ''}`,
+    sharedPrefix: `${prompt.model}|${shared.at(-1)?.id ?? ''}`,
     sharedTokens,
     ownTokens: total - sharedTokens,
   };
@@ -47,7 +47,7 @@
  * The endpoint that is to keep a shared part: the one that ranks highest by rendezvous hashing, the
  * same on every instance that knows the same endpoints.
  */
-export function findHome(
+export function findHomeEndpoint(
   sharedPart: string,
   endpoints: readonly RegisteredEndpoint[],
 ): RegisteredEndpoint | undefined {
--- a/src/placement/reading-fit.ts
+++ b/src/placement/reading-fit.ts
@@ -9,12 +9,12 @@
 import { createLinearFit } from '../utils/linear-fit.js';
 
 /** Samples before the fit is used: fewer often hold one size only. */
-const SAMPLES_TRUSTED = 10;
+const SAMPLES_MIN = 10;
 /** Each new sample makes those before count this much: some 200 are in force. */
-const RETAINED = 0.995;
+const SAMPLE_DECAY = 0.995;
 
 /** What the answers of a pool's engines say of their speed. */
-export interface ReadingPace {
+export interface PrefillSpeed {
   /** Of any first answer, in milliseconds: a step, a round trip, timers. */
   readonly fixedMs: number;
   /** Of each token that is read, in milliseconds. */
@@ -24,16 +24,16 @@
 }
 
 /** The fit of one pool. */
-export interface ReadingFit {
+export interface PrefillFit {
   /** A first answer came `tookMs` after its call was sent with `tokens` to read. */
   add(tokens: number, tookMs: number): void;
   /** Undefined while too little was seen, or where size explains nothing. */
-  get(): ReadingPace | undefined;
+  get(): PrefillSpeed | undefined;
 }
 
 /** Builds a fit that has seen nothing. */
-export function createReadingFit(): ReadingFit {
-  const fit = createLinearFit({ retained: RETAINED, samplesTrusted: SAMPLES_TRUSTED });
+export function createPrefillFit(): PrefillFit {
+  const fit = createLinearFit({ retained: SAMPLE_DECAY, samplesTrusted: SAMPLES_MIN });
   return {
     add: (tokens, tookMs) => fit.add(tokens, tookMs),
     get() {
--- a/src/placement/reading-pace.test.ts
+++ b/src/placement/reading-pace.test.ts
@@ -3,7 +3,7 @@
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { ENDPOINT_VERDICT, createEndpointLoads } from './endpoint-loads.js';
 import type { EndpointLoads } from './endpoint-loads.js';
-import { createReadingFit } from './reading-fit.js';
+import { createPrefillFit } from './reading-fit.js';
 
 /** What answers take beside reading, in milliseconds. */
 const FIXED_MS = 45;
@@ -49,14 +49,14 @@
         const loads = createEndpointLoads();
         t.is(loads.getPoolPace('p').reading, undefined);
         runPrompts(loads, 'a', tokensPerMs);
-        const pace = loads.getPoolPace('p').reading;
-        t.true(Math.abs(1 / (pace?.msPerToken ?? 1) - tokensPerMs) < tokensPerMs * 0.02);
-        t.true(Math.abs((pace?.fixedMs ?? 0) - FIXED_MS) < 3);
+        const speed = loads.getPoolPace('p').reading;
+        t.true(Math.abs(1 / (speed?.msPerToken ?? 1) - tokensPerMs) < tokensPerMs * 0.02);
+        t.true(Math.abs((speed?.fixedMs ?? 0) - FIXED_MS) < 3);
       }
     });
 
     it('is not told where size explains nothing', (t) => {
-      const fit = createReadingFit();
+      const fit = createPrefillFit();
       for (let count = 0; count < 50; count += 1) fit.add(1000, 50 + (count % 7));
       t.is(fit.get(), undefined);
     });
@@ -77,11 +77,11 @@
     it('follows an engine that reads more than is counted, and forgets', (t) => {
       const loads = createEndpointLoads();
       const engine = buildEndpoint('a');
-      t.is(loads.computeSlowness(engine, 0), 1);
+      t.is(loads.getSlowdown(engine, 0), 1);
       const warmMs = runPrompts(loads, 'b', 112);
       const nowMs = runPrompts(loads, 'a', 112, warmMs, 13_300);
-      t.true(loads.computeSlowness(engine, nowMs) > 1.5);
-      t.true(loads.computeSlowness(engine, nowMs + 20_000) < 1.05);
+      t.true(loads.getSlowdown(engine, nowMs) > 1.5);
+      t.true(loads.getSlowdown(engine, nowMs + 20_000) < 1.05);
     });
 
     // One engine of three has turned five times slower while its health and its count of calls look
@@ -89,29 +89,29 @@
     it('tells a slow engine from the others, also by what other instances measured', (t) => {
       const loads = createEndpointLoads();
       const nowMs = runPrompts(loads, 'b', 100, runPrompts(loads, 'a', 100));
-      loads.told.set(
+      loads.remote.set(
         'peer',
         [buildShare({ endpoint: 'c', readTokens: 20_000, readMs: 900 })],
         false,
         nowMs,
       );
-      t.true(loads.computeSlowness(buildEndpoint('c'), nowMs) > 1.5);
-      t.true(loads.computeSlowness(buildEndpoint('a'), nowMs) <= 1.01);
+      t.true(loads.getSlowdown(buildEndpoint('c'), nowMs) > 1.5);
+      t.true(loads.getSlowdown(buildEndpoint('a'), nowMs) <= 1.01);
     });
 
     it('leaves nothing behind of what is told no more', (t) => {
       const loads = createEndpointLoads();
       const nowMs = runPrompts(loads, 'a', 100);
       const share = { running: 2, unreadTokens: 7, answers: 0.1, failures: 0.1 };
-      loads.told.set(
+      loads.remote.set(
         'peer',
         [buildShare({ endpoint: 'c', ...share, readTokens: 20_000.3, readMs: 900.7 })],
         true,
         nowMs,
       );
-      loads.told.advance(nowMs + 5000, 1000);
-      const slowness = loads.computeSlowness(buildEndpoint('c'), nowMs + 5000);
-      t.is(slowness, loads.computeSlowness(buildEndpoint('other'), nowMs + 5000));
+      loads.remote.removeExpired(nowMs + 5000, 1000);
+      const slowdown = loads.getSlowdown(buildEndpoint('c'), nowMs + 5000);
+      t.is(slowdown, loads.getSlowdown(buildEndpoint('other'), nowMs + 5000));
       t.deepEqual(loads.get('c'), { running: 0, urgent: 0, unreadTokens: 0 });
     });
   });
--- a/src/placement/reading-pace.ts
+++ b/src/placement/reading-pace.ts
@@ -9,10 +9,10 @@
  */
 import { createDecayingSums } from '../utils/decaying-sums.js';
 import type { DecayingSums } from '../utils/decaying-sums.js';
-import type { ReadingPace } from './reading-fit.js';
+import type { PrefillSpeed } from './reading-fit.js';
 
 /** Tokens that one engine read and the time it took, in milliseconds; older samples count less. */
-export interface ReadingSums {
+export interface PrefillSums {
   readonly readTokens: number;
   readonly readMs: number;
 }
@@ -20,34 +20,34 @@
 /** Time after which a sample counts half, in milliseconds: bursts and slow spells last seconds. */
 const HALF_LIFE_MS = 2000;
 /** Prompts of mean size, read at the pool's pace, that stand in for samples not seen yet: one odd answer must not decide. */
-const ASSUMED_PROMPTS = 4;
+const PRIOR_PROMPTS = 4;
 /** Bounds of how many times slower an engine counts, so that one odd sample does not decide. */
-const SLOWNESS_MIN = 0.7;
-const SLOWNESS_MAX = 8;
+const SLOWDOWN_MIN = 0.7;
+const SLOWDOWN_MAX = 8;
 
 /** Builds the sums of one engine. */
-export function createReadingSums(): DecayingSums<keyof ReadingSums> {
+export function createPrefillSums(): DecayingSums<keyof PrefillSums> {
   return createDecayingSums(['readTokens', 'readMs'], HALF_LIFE_MS);
 }
 
 /** What a first answer tells that came `tookMs` after its call was sent, behind and with `tokens` unread tokens. */
-export function buildReadingSample(
+export function buildPrefillSample(
   tokens: number,
   tookMs: number,
-  { fixedMs, msPerToken }: ReadingPace,
-): ReadingSums {
+  { fixedMs, msPerToken }: PrefillSpeed,
+): PrefillSums {
   return {
     readTokens: tokens,
-    readMs: Math.max(tookMs - fixedMs, tokens * msPerToken * SLOWNESS_MIN),
+    readMs: Math.max(tookMs - fixedMs, tokens * msPerToken * SLOWDOWN_MIN),
   };
 }
 
 /** How many times longer than the pool's engines on the whole one takes to read. */
-export function computeSlowness(
-  { readTokens, readMs }: ReadingSums,
-  { msPerToken, meanTokens }: ReadingPace,
+export function computeSlowdown(
+  { readTokens, readMs }: PrefillSums,
+  { msPerToken, meanTokens }: PrefillSpeed,
 ): number {
-  const assumedMs = ASSUMED_PROMPTS * meanTokens * msPerToken;
-  const slowness = (readMs + assumedMs) / (readTokens * msPerToken + assumedMs);
-  return Math.min(SLOWNESS_MAX, Math.max(SLOWNESS_MIN, slowness));
+  const priorMs = PRIOR_PROMPTS * meanTokens * msPerToken;
+  const slowdown = (readMs + priorMs) / (readTokens * msPerToken + priorMs);
+  return Math.min(SLOWDOWN_MAX, Math.max(SLOWDOWN_MIN, slowdown));
 }
--- a/src/placement/stream-pace.ts
+++ b/src/placement/stream-pace.ts
@@ -12,14 +12,14 @@
 /** Time after which a pause counts half, in milliseconds: some ten events of a stream at a usual pace. */
 const HALF_LIFE_MS = 500;
 /** Recent pauses, in decayed number, below which nothing is predicted: one slow link must not decide. */
-const PAUSES_TRUSTED = 5;
+const RECENT_PAUSES_MIN = 5;
 /** Each pause makes those before count this much: some 2,000 are in force, quiet and busy seconds among them. */
-const RETAINED = 0.9995;
+const SAMPLE_DECAY = 0.9995;
 /** Pauses before the growth is used. */
-const SAMPLES_TRUSTED = 50;
+const SAMPLES_MIN = 50;
 
 /** The pace of one pool's streams. */
-export interface StreamPace {
+export interface PauseModel {
   /** Two events came `pauseMs` apart from an engine with `running` calls under way. */
   add(pauseMs: number, running: number, nowMs: number): void;
   /** The mean pause at an engine with `running` calls, in milliseconds; undefined while too little was seen. */
@@ -29,8 +29,8 @@
 }
 
 /** Builds a pace of which nothing is known. */
-export function createStreamPace(): StreamPace {
-  const fit = createLinearFit({ retained: RETAINED, samplesTrusted: SAMPLES_TRUSTED });
+export function createPauseModel(): PauseModel {
+  const fit = createLinearFit({ retained: SAMPLE_DECAY, samplesTrusted: SAMPLES_MIN });
   const recent = createDecayingSums(['pauses', 'pauseMs', 'running'], HALF_LIFE_MS);
   const getMsPerCall = (): number => Math.max(0, fit.get()?.slope ?? 0);
   return {
@@ -41,7 +41,7 @@
     },
     predictPauseMs(running, nowMs) {
       const sums = recent.read(nowMs);
-      if (sums.pauses < PAUSES_TRUSTED) return undefined;
+      if (sums.pauses < RECENT_PAUSES_MIN) return undefined;
       const meanMs = sums.pauseMs / sums.pauses;
       const meanRunning = Math.max(1, sums.running / sums.pauses);
       // A step without any call takes time too: pauses grow less than in proportion.
--- a/src/placement/told-loads.ts
+++ b/src/placement/told-loads.ts
@@ -4,7 +4,7 @@
  */
 import { hashName } from '../utils/hash.js';
 import type { FailureCounts } from './failure-shares.js';
-import type { ReadingSums } from './reading-pace.js';
+import type { PrefillSums } from './reading-pace.js';
 
 /** What is under way at one endpoint. */
 export interface EndpointLoad {
@@ -24,7 +24,7 @@
 export type EndpointKey = number;
 
 /** What somebody has under way at one endpoint and how calls fared there lately. */
-export interface EndpointShareOfLoad extends FleetLoad, FailureCounts, ReadingSums {
+export interface EndpointShareOfLoad extends FleetLoad, FailureCounts, PrefillSums {
   readonly endpoint: EndpointKey;
 }
 
@@ -32,29 +32,34 @@
 export type LoadSums = Omit<EndpointShareOfLoad, 'endpoint'>;
 
 /** Tellings by their source. */
-export interface ToldLoads {
+export interface RemoteLoads {
   /** Replaces what the source told before; its failures count where it is of the own data centre. */
-  set(source: string, shares: readonly EndpointShareOfLoad[], isNear: boolean, nowMs: number): void;
+  set(
+    source: string,
+    shares: readonly EndpointShareOfLoad[],
+    isSameDataCentre: boolean,
+    nowMs: number,
+  ): void;
   clear(): void;
   /** Leaves out what was told longer than `ageMaxMs` ago. */
-  advance(nowMs: number, ageMaxMs: number): void;
+  removeExpired(nowMs: number, ageMaxMs: number): void;
   get(endpoint: EndpointKey): LoadSums;
   /** Every endpoint that is told of. */
   list(): EndpointShareOfLoad[];
   /** What one source told last. */
-  listOf(source: string): readonly EndpointShareOfLoad[];
+  listFrom(source: string): readonly EndpointShareOfLoad[];
 }
 
-interface Telling {
+interface SourceLoads {
   readonly shares: readonly EndpointShareOfLoad[];
-  readonly isNear: boolean;
-  readonly toldMs: number;
+  readonly isSameDataCentre: boolean;
+  readonly receivedMs: number;
 }
 
 interface Entry {
   sums: { -readonly [K in keyof LoadSums]: number };
   /** Tellings that name the endpoint. */
-  tellings: number;
+  sources: number;
 }
 
 /** Nothing under way and nothing known. */
@@ -100,46 +105,50 @@
 }
 
 /** Builds tellings of nobody. */
-export function createToldLoads(): ToldLoads {
-  const tellings = new Map<string, Telling>();
+export function createRemoteLoads(): RemoteLoads {
+  const loadsOfSource = new Map<string, SourceLoads>();
   const entries = new Map<EndpointKey, Entry>();
 
-  function addTelling({ shares, isNear }: Telling, sign: 1 | -1): void {
+  function applySource({ shares, isSameDataCentre }: SourceLoads, sign: 1 | -1): void {
     for (const share of shares) {
-      const entry = entries.get(share.endpoint) ?? { sums: { ...NO_LOAD }, tellings: 0 };
-      addLoad(entry.sums, isNear ? share : { ...share, answers: 0, failures: 0 }, sign);
-      entry.tellings += sign;
+      const entry = entries.get(share.endpoint) ?? { sums: { ...NO_LOAD }, sources: 0 };
+      addLoad(entry.sums, isSameDataCentre ? share : { ...share, answers: 0, failures: 0 }, sign);
+      entry.sources += sign;
       // Dropped rather than left at zero: sums of fractions would keep a rest.
-      if (entry.tellings > 0) entries.set(share.endpoint, entry);
+      if (entry.sources > 0) entries.set(share.endpoint, entry);
       else entries.delete(share.endpoint);
     }
   }
 
-  function removeTelling(source: string): void {
-    const known = tellings.get(source);
+  function removeSource(source: string): void {
+    const known = loadsOfSource.get(source);
     if (known === undefined) return;
-    tellings.delete(source);
-    addTelling(known, -1);
+    loadsOfSource.delete(source);
+    applySource(known, -1);
   }
 
   return {
-    set(source, shares, isNear, nowMs) {
-      removeTelling(source);
-      const telling: Telling = { shares, isNear, toldMs: nowMs };
-      tellings.set(source, telling);
-      addTelling(telling, 1);
+    set(source, shares, isSameDataCentre, nowMs) {
+      removeSource(source);
+      const received: SourceLoads = {
+        shares,
+        isSameDataCentre,
+        receivedMs: nowMs,
+      };
+      loadsOfSource.set(source, received);
+      applySource(received, 1);
     },
     clear() {
-      tellings.clear();
+      loadsOfSource.clear();
       entries.clear();
     },
-    advance(nowMs, ageMaxMs) {
-      for (const [source, { toldMs }] of tellings) {
-        if (nowMs - toldMs > ageMaxMs) removeTelling(source);
+    removeExpired(nowMs, ageMaxMs) {
+      for (const [source, { receivedMs }] of loadsOfSource) {
+        if (nowMs - receivedMs > ageMaxMs) removeSource(source);
       }
     },
     get: (endpoint) => entries.get(endpoint)?.sums ?? NO_LOAD,
     list: () => [...entries].map(([endpoint, { sums }]) => ({ endpoint, ...sums })),
-    listOf: (source) => tellings.get(source)?.shares ?? [],
+    listFrom: (source) => loadsOfSource.get(source)?.shares ?? [],
   };
 }
