--- a/src/load-sharing/choose-heads.ts
+++ b/src/load-sharing/choose-heads.ts
@@ -1,21 +1,23 @@
 /**
- * Chooses the instances that sum up loads for others, free of I/O.
+ * Chooses the instances that aggregate loads for others. Performs no I/O.
  *
- * The load it answers: an engine turns its calls over in a fraction of a second. Where each instance
- * tells a few others, drawn anew each time, what one of hundreds believes of an engine is seconds old. A head hears each of its
- * group ten times a second and the sums of all other heads as often, so that everybody knows of
- * everybody within two or three periods, whatever the size of the fleet.
+ * Guards against outdated loads: engines finish calls within a fraction of a second, and gossip
+ * takes seconds to cover a fleet of hundreds. With aggregators all instances learn of a change
+ * within two or three periods.
  */
 import { chooseRendezvous, hashName, hashPair } from '../utils/hash.js';
 
-/** Up to this many instances everybody tells everybody: a head for each. */
+/** Largest fleet in which every instance is an aggregator. */
 export const FULL_MESH_MAX = 12;
-/** Instances of one group at most: a head of 195 sends 16 tables to its group and 14 to other heads a period. */
+/** Instances per aggregator. */
 const GROUP_MAX = 16;
-/** Heads of a data centre at least: with one alone its death would look like the data centre's. */
+/**
+ * Minimum number of aggregators per data centre: the failure of a single one would look like that
+ * of the data centre.
+ */
 const AGGREGATORS_MIN = 2;
 
-/** An instance that is alive. */
+/** A live instance. */
 export interface LoadMember {
   readonly name: string;
   readonly address: string;
@@ -30,7 +32,7 @@
   return members.map(({ name }) => name);
 }
 
-/** The heads of a fleet, the same on every instance that knows the same members. */
+/** Returns the same aggregators on every instance that knows the same members. */
 export function chooseAggregators(fleet: readonly LoadMember[]): string[] {
   if (fleet.length <= FULL_MESH_MAX) return listNames(fleet);
   const dataCentres = new Set(fleet.map(({ dataCentre }) => dataCentre));
@@ -40,7 +42,10 @@
   });
 }
 
-/** The heads that an instance may report to, the one it prefers first: each draws its share of the others. */
+/**
+ * Lists the aggregators that an instance may report to by preference, which spreads instances
+ * evenly.
+ */
 export function listAggregatorsFor(self: string, aggregators: readonly string[]): string[] {
   const own = hashName(self);
   const rank = (aggregator: string): number => hashPair(hashName(aggregator), own);
--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -1,8 +1,10 @@
 /**
- * Who tells whom of the load at endpoints, free of I/O. Each instance reports what it has under way to
- * a head of its data centre, heads tell each other the sums of their groups, and each head tells those
- * that report to it what all others have. Whoever is reported to is a head, whatever it thinks of the
- * fleet itself, so that nothing has to be agreed on: a wrong choice costs one more telling.
+ * Decides which load updates an instance sends to whom. Performs no I/O.
+ *
+ * Each instance reports its load to an aggregator of its data centre. Aggregators send each other
+ * the sums of their groups and send each reporter the load of all other instances. An instance that
+ * receives reports acts as an aggregator even if it did not expect to be one, so that instances
+ * need not agree on the membership.
  */
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
 import { createRemoteLoads, mergeShares } from '../placement/told-loads.js';
@@ -13,26 +15,25 @@
 import { LOAD_SCOPE } from './load-telling.js';
 import type { AddressedTelling, ReceivedTelling } from './load-telling.js';
 
-/** What changed is told this often, in milliseconds: prompts queue for a few hundred. */
+/** Period of load updates, in milliseconds. */
 export const TELL_PERIOD_MS = 100;
-/** What did not change is told again after this many periods: it is the heartbeat by which others see that they reach this instance. */
+/** Periods after which an unchanged update is repeated, as a heartbeat. */
 const HEARTBEAT_PERIODS = 3;
-/** What was told counts this long, in milliseconds: three repeats lost, or a busy machine's late timers. */
+/** Age at which reported loads are removed, in milliseconds: three lost heartbeats. */
 const REMOTE_LOAD_AGE_MAX_MS = 1000;
-/** A head that answers no report for this long, in milliseconds, is passed over: it answers ten times a second. */
+/** Time without an update after which an aggregator is skipped, in milliseconds. */
 const AGGREGATOR_TIMEOUT_MS = 500;
-/** And for this long, in milliseconds, by when membership knows whether it is dead. */
+/** Time for which it is skipped, in milliseconds, by when membership has detected a failure. */
 const AGGREGATOR_BACKOFF_MS = 3000;
-/** A data centre counts as heard for this long, in milliseconds: a repeat and a lost datagram. */
+/** Time for which a data centre counts as heard after its last update, in milliseconds. */
 const DATA_CENTRE_TIMEOUT_MS = 400;
-/** The fleet is looked at anew after this many periods: heads change when somebody dies, which takes seconds to be known. */
+/** Periods between refreshes of the list of instances. */
 const FLEET_REFRESH_PERIODS = 5;
 
-/** What an exchange is built on. */
 export interface LoadExchangeOptions {
   readonly self: LoadMember;
   readonly loads: EndpointLoads;
-  /** Everybody that is alive, this instance included. */
+  /** All live instances, including this one. */
   readonly listFleet: () => readonly LoadMember[];
 }
 
@@ -41,31 +42,29 @@
   readonly sources: ReadonlySet<string>;
 }
 
-/** The exchange of one instance. */
 export interface LoadExchange {
-  /** A period has passed; what is to be told. */
+  /** Advances by one period and returns the updates to send. */
   advance(nowMs: number): AddressedTelling[];
   handle(update: ReceivedTelling, nowMs: number): void;
 }
 
-/** The shares that decide where calls go; what was learned of endpoints may wait for a repeat. */
+/** Formats the values whose changes are sent at once; other values wait for a heartbeat. */
 function formatShares(shares: readonly EndpointShareOfLoad[]): string {
   return shares
     .map(({ endpoint, running, unreadTokens }) => `${endpoint}:${running}:${unreadTokens}`)
     .join(' ');
 }
 
-/** Builds the exchange of an instance that has heard nobody. */
 export function createLoadExchange({ self, loads, listFleet }: LoadExchangeOptions): LoadExchange {
   const { remote } = loads;
-  /** What the instances of the own group have, beside what `loads` holds of everybody. */
+  /** Loads of the instances that report to this one, which are also part of `remote`. */
   const groupLoads = createRemoteLoads();
-  /** Who reports here: when each was last heard, and the names its parts are kept under. */
+  /** Instances that report to this one, and the sources under which their loads are stored. */
   const reporters = new Map<string, Reporter>();
-  /** When each head and each data centre was last heard. */
+  /** When each aggregator and each data centre was last heard, in milliseconds. */
   const aggregatorsHeardMs = new Map<string, number>();
   const dataCentresHeardMs = new Map<string, number>();
-  /** Heads that do not answer, and until when they are passed over. */
+  /** Aggregators that do not answer, and until when they are skipped, in milliseconds. */
   const skippedUntilMs = new Map<string, number>();
   let addresses = new Map<string, string>();
   let aggregators: string[] = [];
@@ -74,7 +73,7 @@
   let isAggregator = true;
   let aggregator: { readonly name: string; readonly sinceMs: number } | undefined;
   let aggregatorHeardMs = -Infinity;
-  /** The head whose table is in hand. */
+  /** The aggregator that sent the loads in `remote`. */
   let tableFrom: string | undefined;
   let lastSent = '';
   let periodsSinceSent = 0;
@@ -101,7 +100,9 @@
     }
   }
 
-  /** What was told under the other role would be counted twice under the new one. */
+  /**
+   * Loads received in the previous role are removed, as they would be counted twice in the new one.
+   */
   function updateRole(): void {
     const wasAggregator = isAggregator;
     isAggregator =
@@ -114,8 +115,8 @@
   }
 
   /**
-   * Guards against a head that is dead, cut off or frozen, seconds before membership knows: it shows as
-   * an instance that sends its calls by what it alone has under way. The next head takes its reports.
+   * Guards against an aggregator that is down, unreachable or frozen before membership detects it,
+   * which would leave this instance with its own load only. The next aggregator takes over.
    */
   function updateAggregator(nowMs: number): void {
     const silentMs = nowMs - Math.max(aggregator?.sinceMs ?? nowMs, aggregatorHeardMs);
@@ -148,7 +149,7 @@
     };
   }
 
-  /** What the others have, from the point of view of one of the group. */
+  /** Subtracts a member's own load from the load of the fleet. */
   function buildOthersShares(
     member: string,
     fleet: readonly EndpointShareOfLoad[],
@@ -187,7 +188,7 @@
     return updates;
   }
 
-  /** Whether it is time to tell: at once what changed, now and then what did not. */
+  /** Changed updates are due at once, unchanged ones as heartbeats. */
   function isDue(text: string): boolean {
     periodsSinceSent += 1;
     if (text === lastSent && periodsSinceSent < HEARTBEAT_PERIODS) return false;
@@ -228,7 +229,7 @@
     const { instance, part, shares, heardDataCentres } = update;
     if (isAggregator || instance !== aggregator?.name) return;
     aggregatorHeardMs = nowMs;
-    // What the head before said holds until this one speaks.
+    // Loads from the previous aggregator are used until the new one sends its own.
     if (tableFrom !== instance) remote.clear();
     tableFrom = instance;
     for (const heard of heardDataCentres) dataCentresHeardMs.set(heard, nowMs);
--- a/src/load-sharing/load-telling.ts
+++ b/src/load-sharing/load-telling.ts
@@ -1,34 +1,33 @@
-/** What instances tell each other of the load at endpoints. */
+/** Load updates that instances send each other. */
 import type { EndpointShareOfLoad } from '../placement/told-loads.js';
 
-/** Whose load a telling speaks of. */
+/** Whose load an update holds. */
 export const LOAD_SCOPE = {
-  /** What the sender itself has under way. */
+  /** The load of the sender. */
   Own: 'own',
-  /** What the sender and all that report to it have. */
+  /** The load of the sender and of all instances that report to it. */
   Group: 'group',
-  /** What everybody but the receiver has. */
+  /** The load of all instances but the receiver. */
   Others: 'others',
 } as const;
 export type LoadScope = (typeof LOAD_SCOPE)[keyof typeof LOAD_SCOPE];
 
-/** A telling on its way to some instances. */
 export interface LoadTelling {
   readonly scope: LoadScope;
   readonly shares: readonly EndpointShareOfLoad[];
-  /** Data centres that the sender has heard from lately. */
+  /** Data centres that the sender has heard from recently. */
   readonly heardDataCentres: readonly string[];
 }
 
-/** A telling with those it goes to. */
+/** An update and the addresses it is sent to. */
 export interface AddressedTelling extends LoadTelling {
   readonly addresses: readonly string[];
 }
 
-/** A telling as it came, one datagram of it. */
+/** One datagram of an update, as received. */
 export interface ReceivedTelling extends LoadTelling {
   readonly instance: string;
   readonly dataCentre: string;
-  /** This part of what outgrew a datagram. */
+  /** Index of the datagram among those of its update. */
   readonly part: number;
 }
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -1,12 +1,11 @@
 /**
- * Chooses the endpoint of a call, free of I/O.
+ * Chooses the endpoint for a call. Performs no I/O.
  *
- * Plain calls go to the endpoint with the fewest calls for its slots. Prompts go where they are
- * expected to be read soonest: behind the tokens that wait unread at an endpoint, plus the tokens of
- * the prompt that are not kept there. Every instance holds the same two endpoints, by rendezvous
- * hashing, for those that keep a shared part, so that instances need not tell each other what is
- * cached where. Reading a shared part again costs everybody behind it, so it counts more than once.
- * What an endpoint failed lately counts against it as the loss of a call.
+ * Calls without a prompt go to the endpoint with the lowest slot utilization. Calls with a prompt
+ * go to the engine with the lowest estimated cost, made up of unread prompt tokens, running calls,
+ * the wait for a slot, recent failures and, except at the home of its shared prefix, reading that
+ * prefix again. Homes are assigned by rendezvous hashing, so that all instances agree on them
+ * without coordination.
  */
 import type { PromptShape } from '../calls/call-messages.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
@@ -16,71 +15,67 @@
 import type { EndpointLoads, PoolTiming } from './endpoint-loads.js';
 
 /**
- * How much more a token of a shared part weighs when it has to be read again than one that waits: it
- * takes engine time from all others and evicts what is kept, which is then read again as well.
+ * Cost of reading a shared-prefix token again, relative to a token waiting to be read: it also
+ * evicts other cached prefixes.
  */
 const PREFIX_MISS_WEIGHT = 20;
-/**
- * Part of a call's target in which its whole prompt is assumed to be read until its pool's first prompts
- * were, within a second of traffic: targets are declared for engines that can meet them.
- */
+/** Share of the target assumed for reading the whole prompt while the prefill speed is unknown. */
 const ASSUMED_READ_SHARE = 0.2;
 /**
- * Parts of the call's target that an engine whose slots are all taken costs: running calls lengthen each
- * step, and so the call's own stream.
+ * Cost of an engine with all slots taken, as a share of the call's target: running calls slow down
+ * every stream.
  */
 const FULL_ENGINE_COST_SHARE = 0.4;
 /**
- * How much a millisecond by which calls under way lengthen an answer weighs against one before it
- * begins.
- *
- * Guards against urgent calls that all go where fewest prompts are unread, which they never wait
- * behind: it shows as one engine with over a hundred calls and streams that outlast their callers while
- * others have a third of that. The whole millisecond would drive calls from their shared parts.
+ * Weight of a millisecond by which running calls delay the rest of an answer, relative to one
+ * before its start. Guards against urgent calls piling up on the engine with the fewest unread
+ * tokens, where their streams would be slow.
  */
 const STREAM_DELAY_WEIGHT = 0.25;
 /**
- * How much more a wait for a slot counts for a call that is about to miss its target, so that it leaves
- * a full home for an engine that must read the shared part first. No wait counts more than the target:
- * late is late, and in a fleet without free slots calls would leave their homes for nothing.
+ * Extra weight of the wait for a slot as a call approaches its target, so that it leaves a full
+ * home in time. The wait counts for at most the target; otherwise calls would leave their homes
+ * even when no engine has a free slot.
  */
 const QUEUE_URGENCY_FACTOR = 3;
 /**
- * Part of its target that it costs an urgent call to go where long prompts are read, which may make its
- * stream late through a pause.
+ * Cost of sending an urgent call to an engine that also reads long prompts, which can stall its
+ * stream, as a share of its target.
  */
 const INTERFERENCE_COST_SHARE = 0.5;
-/** Times its target that a certain failure costs a call: what may be sent once only is lost with it. */
+/** Cost of a certain failure for a call with a prompt, in multiples of its target. */
 const FAILURE_COST_TARGETS = 8;
-/** The same for plain calls, in times that an endpoint is full: there the next try costs a place in the queue and a second try. */
+/** Cost of a certain failure for a call without a prompt, in units of slot utilization. */
 const FAILURE_COST_UTILIZATION = 2;
 
-/** What a choice depends on. */
 export interface ChoiceInput {
   readonly endpoints: readonly RegisteredEndpoint[];
   readonly prompt: PromptShape | undefined;
-  /** Endpoints that had this call already. */
+  /** Ids of endpoints already tried for this call. */
   readonly excluded: readonly string[];
-  /** Whether a data centre is out of reach for now. */
+  /** Whether a data centre is currently unreachable. */
   readonly isCut: (dataCentre: string) => boolean;
-  /** Whether an endpoint is left to others as long as there is another. */
+  /** Whether an endpoint should be used only if there is no other. */
   readonly isAvoided: (endpoint: RegisteredEndpoint) => boolean;
   readonly loads: EndpointLoads;
   readonly random: Random;
-  /** Time from the call's arrival to the first answer that is in time, in milliseconds. */
+  /** Target for the first event, measured from the call's arrival, in milliseconds. */
   readonly targetMs: number;
-  /** Events that answers of its route have in the mean; 0 while unknown. */
+  /** Mean number of events in answers of the route; 0 while unknown. */
   readonly eventsExpected: number;
-  /** Whether the call is of the most urgent of its pool. */
+  /** Whether the call has the most urgent priority in its pool. */
   readonly isUrgent: boolean;
-  /** Ids of the engines that are kept for the most urgent. */
+  /** Ids of engines reserved for the most urgent calls. */
   readonly reserved: ReadonlySet<string>;
-  /** Part of that time that the call has waited already, 0 to 1. */
+  /** Share of the target that has already passed, 0 to 1. */
   readonly waitedShare: number;
   readonly nowMs: number;
 }
 
-/** Endpoints that may be chosen: not tried before, within reach, not failing; the least doubtful where no other is left. */
+/**
+ * Filters out endpoints that were tried, unreachable, suspect or to be avoided. If none is left,
+ * the last of these conditions is dropped first.
+ */
 function listCandidates(input: ChoiceInput): readonly RegisteredEndpoint[] {
   const { endpoints, excluded, loads, nowMs } = input;
   const untried = endpoints.filter(({ id }) => !excluded.includes(id));
@@ -94,7 +89,7 @@
   return reachable.length > 0 ? reachable : untried;
 }
 
-/** The candidate with the least cost; among equals any. */
+/** Returns the candidate with the lowest cost; ties are broken at random. */
 function chooseCheapest(
   candidates: readonly RegisteredEndpoint[],
   random: Random,
@@ -114,7 +109,6 @@
   return best;
 }
 
-/** Where a call goes. */
 export interface Placement {
   readonly endpoint: RegisteredEndpoint;
   /** Prompt tokens that the endpoint is expected to read. */
@@ -132,12 +126,15 @@
   return endpoint === undefined ? undefined : { endpoint, readTokens: 0 };
 }
 
-/** A prompt that is to be placed, with what is the same for all candidates. */
+/** A prompt to place, with the values that are the same for all candidates. */
 interface PromptChoice extends PromptCost {
   readonly input: ChoiceInput;
   readonly timing: PoolTiming;
   readonly msPerToken: number;
-  /** What it costs to read the shared parts again, in milliseconds: no engine but the home costs less. */
+  /**
+   * Cost of reading the shared prefix again, in milliseconds: the minimum cost of any engine but
+   * the home.
+   */
   readonly rereadMs: number;
 }
 
@@ -149,7 +146,7 @@
   return { ...cost, input, timing, msPerToken, rereadMs };
 }
 
-/** What the calls under way at an engine cost the call, in milliseconds: each adds to every pause of its answer. */
+/** Cost of the calls already running at an engine, in milliseconds. */
 function computeRunningMs(
   { input: { targetMs, eventsExpected }, timing }: PromptChoice,
   running: number,
@@ -160,7 +157,7 @@
   return Math.max((counted / slots) * targetMs * FULL_ENGINE_COST_SHARE, streamDelayMs);
 }
 
-/** What it costs to send a prompt to an engine, in milliseconds that its first answer is later or may as well be. */
+/** Estimated cost of sending the prompt to an engine, in milliseconds. */
 function computeCostMs(
   choice: PromptChoice,
   candidate: RegisteredEndpoint,
@@ -185,7 +182,9 @@
   );
 }
 
-/** Engines that a prompt may go to, and those among which its shared part has its home. */
+/**
+ * Lists the engines that may get the prompt and those eligible as the home of its shared prefix.
+ */
 function listEngines(
   { isUrgent, reserved }: ChoiceInput,
   candidates: readonly RegisteredEndpoint[],
@@ -207,8 +206,8 @@
 }
 
 /**
- * The engine that costs the prompt least. The home is looked at first: where nothing there costs as much
- * as reading the shared parts again, no other engine need be looked at, which is so for most calls.
+ * Returns the engine with the lowest cost. Other engines are skipped if the home costs no more than
+ * reading the shared prefix again, since none of them can be cheaper.
  */
 function chooseForPrompt(
   choice: PromptChoice,
@@ -221,7 +220,7 @@
   );
 }
 
-/** Picks an endpoint, or nothing where none may get the call. */
+/** Returns undefined if no endpoint may get the call. */
 export function chooseEndpoint(input: ChoiceInput): Placement | undefined {
   const candidates = listCandidates(input);
   const { prompt } = input;
--- a/src/placement/endpoint-loads.ts
+++ b/src/placement/endpoint-loads.ts
@@ -1,6 +1,6 @@
 /**
- * What is under way at each endpoint, by own calls and by what other instances tell of theirs, and how
- * each endpoint has answered lately.
+ * Tracks the load, failures and speed of endpoints, from this instance's calls and from load
+ * updates of other instances.
  */
 
 import { assertNever } from '../utils/assert-never.js';
@@ -21,67 +21,74 @@
 import type { EndpointKey, EndpointShareOfLoad, FleetLoad, RemoteLoads } from './told-loads.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 
-/** Failures in a row after which an endpoint is set aside: one may be the call's own. */
+/** Consecutive failures after which an endpoint is suspect. */
 const SUSPECT_AFTER_FAILURES = 3;
-/** An endpoint set aside gets one call again after this long, in milliseconds: a crashed one is back in two seconds or later. */
+/** Time after its last failure at which a suspect endpoint gets a probe call, in milliseconds. */
 const PROBE_AFTER_MS = 1000;
 
-/** What the end of a call says of its endpoint. */
+/** How an endpoint handled a call that has ended. */
 export const ENDPOINT_VERDICT = {
-  /** It did its part. */
+  /** The endpoint answered as expected. */
   Good: 'good',
-  /** The call ended for reasons that say nothing of it. */
+  /** The call ended for a reason unrelated to the endpoint. */
   None: 'none',
-  /** It refused the call or answered with an error of its own: the connection works. */
+  /** The endpoint refused the call or answered with an error, so the connection works. */
   Errored: 'errored',
-  /** Its answer broke off or did not come. */
+  /** The answer broke off or never came. */
   Failed: 'failed',
-  /** No connection could be made: all further calls would fail alike. */
+  /** No connection could be made. */
   Unreachable: 'unreachable',
 } as const;
 export type EndpointVerdict = (typeof ENDPOINT_VERDICT)[keyof typeof ENDPOINT_VERDICT];
 
-/** A call that is under way at an endpoint. */
+/** Records the progress of one call at an endpoint. */
 export interface LoadTicket {
-  /** An event of its answer came, or the whole answer. */
+  /** Records an event of the answer, or the whole answer. */
   recordEvent(nowMs: number): void;
   recordEnd(verdict: EndpointVerdict, nowMs: number): void;
-  /** The events of the answer so far. */
+  /** Timing of the answer's events so far. */
   getStream(): StreamRecord;
 }
 
-/** What is known of how fast a pool's engines are. */
+/** Timing estimates for a pool's engines. */
 export interface PoolTiming {
-  /** Undefined before enough prompts were read. */
+  /** Undefined until enough prompts have been read. */
   readonly reading: PrefillSpeed | undefined;
-  /** Mean time from a call's sending to the end of its answer, in milliseconds; 0 before the first. */
+  /**
+   * Mean time from sending a call to the end of its answer, in milliseconds; 0 before the first.
+   */
   readonly meanRunMs: number;
-  /** What each call under way at an engine adds to the pauses of its streams, in milliseconds; 0 while unknown. */
+  /**
+   * Increase in the pause between stream events per running call, in milliseconds; 0 while unknown.
+   */
   readonly pauseMsPerCall: number;
 }
 
-/** Loads of all endpoints, each known by the id of its start: what is believed ends with the start. */
+/** Loads by start id, so that a restarted endpoint begins without history. */
 export interface EndpointLoads {
-  /** The load of all instances that can be heard. */
+  /** Load from all reachable instances, including this one. */
   get(id: string): FleetLoad;
-  /** Own calls under way and how they fared, for the others. */
+  /** Load and recent outcomes of this instance's calls, for load updates. */
   listOwn(nowMs: number): EndpointShareOfLoad[];
-  /** The same of all instances that can be heard, this one included. */
+  /** The same for all reachable instances, including this one. */
   listFleet(nowMs: number): EndpointShareOfLoad[];
-  /** What others tell. */
+  /** Loads reported by other instances. */
   readonly remote: Omit<RemoteLoads, 'get' | 'list' | 'listOf'>;
-  /** Which part of its calls the endpoint fails, 0 to 1. */
+  /** Recent failure rate of the endpoint, 0 to 1. */
   getFailureRate(id: string, nowMs: number): number;
-  /** How many times longer than its pool's endpoints on the whole one takes to read prompts; 1 while nothing is known. */
+  /** Time the endpoint takes to read prompts, relative to its pool; 1 while unknown. */
   getSlowdown(endpoint: RegisteredEndpoint, nowMs: number): number;
   getPoolPace(pool: string): PoolTiming;
-  /** The mean pause of streams at an engine of the pool with that many calls, in milliseconds; undefined while unknown. */
+  /**
+   * Mean pause between stream events at an engine with `running` calls, in milliseconds; undefined
+   * while unknown.
+   */
   predictPauseMs(pool: string, running: number, nowMs: number): number | undefined;
-  /** Whether own calls say that the endpoint should be passed over for now. */
+  /** Whether the endpoint should be skipped because calls of this instance failed in a row. */
   isSuspect(id: string, nowMs: number): boolean;
   /**
-   * A call is sent to an endpoint that is expected to read so many tokens of its prompt. `isUrgent`:
-   * no route of its pool is more urgent, and some is less.
+   * Records that a call is sent to an endpoint that is expected to read `unreadTokens` of its
+   * prompt. `isUrgent` is set for the most urgent of several priorities in a pool.
    */
   start(
     endpoint: RegisteredEndpoint,
@@ -92,9 +99,9 @@
   remove(id: string): void;
 }
 
-/** Weight of the newest call in the mean time that calls take: some fifty are in force. */
+/** Weight of the newest call in the moving average of run times. */
 const RUN_ALPHA = 0.02;
-/** Own sums below these are not told: they no longer change a choice. */
+/** Endpoints without running calls are left out of load updates below these sums. */
 const REPORTED_FAILURES_MIN = 0.1;
 const REPORTED_READ_MS_MIN = 50;
 
@@ -108,20 +115,19 @@
   readonly prefill: DecayingSums<keyof PrefillSums>;
 }
 
-/** What own calls tell of a pool's engines. */
+/** Estimates learned from this instance's calls to a pool. */
 interface PoolState {
   readonly prefillFit: PrefillFit;
   readonly runMs: MovingAverage;
   readonly pauses: PauseModel;
 }
 
-/** Builds loads of which nothing is known. */
 export function createEndpointLoads(): EndpointLoads {
   const states = new Map<string, LoadState>();
   const remote = createRemoteLoads();
   const pools = new Map<string, PoolState>();
 
-  /** Kept rather than computed at each choice, which asks for every endpoint of a pool. */
+  /** Cached because every choice needs the keys of the whole pool. */
   const keys = new Map<string, EndpointKey>();
 
   function getKey(id: string): EndpointKey {
@@ -225,7 +231,8 @@
     const pool = getPool(endpoint.pool);
     const before = getLoad(startId);
     const aheadTokens = before.unreadTokens + unreadTokens;
-    // What waits for a slot or behind other prompts tells nothing of the engine's own speed.
+    // The time of a call that queues for a slot or behind other prompts does not show the engine's
+    // speed.
     const isUnqueued = before.unreadTokens === 0 && before.running < slots;
     let unread = unreadTokens;
     const stream = createStreamTimes();
@@ -309,7 +316,7 @@
     isSuspect(id, nowMs) {
       const state = states.get(id);
       if (state === undefined || state.failuresInRow < SUSPECT_AFTER_FAILURES) return false;
-      // One call at a time finds out whether it is back.
+      // A suspect endpoint gets one probe call at a time.
       return state.running > 0 || nowMs - state.lastFailureMs < PROBE_AFTER_MS;
     },
     start: startCall,
--- a/src/placement/engine-reserve.ts
+++ b/src/placement/engine-reserve.ts
@@ -1,81 +1,85 @@
 /**
- * Keeps some engines of a pool for the most urgent streams, free of I/O.
+ * Reserves engines of a pool for the most urgent streams. Performs no I/O.
  *
- * Guards against streams that are late through one pause. An engine reads prompts a piece at a time
- * between the tokens of its streams, and an event of a few tokens waits for as many pieces: beside five
- * pieces in a row every stream of the engine pauses for five times as long as a piece takes. Of 313
- * lookups of a played day, at 82 engines that read 2.8 long prompts a second each, 108 had a pause over
- * the 150 ms declared, none over 210 ms, though their engines were a third full. Where nothing long is
- * read, the same streams pause for a few steps: in a play of 40 engines and 20 instances 0.99 of the lookups
- * are in time instead of 0.54, and 0.96 of the long prompts instead of 0.85, which are held back less.
+ * Guards against streams that stall: an engine reads prompts in chunks between the tokens of its
+ * streams, so a long prompt delays all of them. Less urgent prompts go to the other engines, as do
+ * urgent ones when the reserved engines are busy.
  *
- * Less urgent prompts go to the engines that are left, and the urgent may go there as well when those
- * kept for them are busy. What is kept follows the urgent calls under way in the whole fleet, so that
- * all instances come to nearly the same engines by themselves; where they differ, it is in the last one.
+ * The reserve follows the urgent calls of the whole fleet and engines are ranked by hash, so that
+ * all instances reserve nearly the same engines without coordination.
  */
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { hashName } from '../utils/hash.js';
 import { createMovingAverage } from '../utils/moving-average.js';
 import type { MovingAverage } from '../utils/moving-average.js';
 
-/** Streams that must have ended at engines which nobody keeps before their pauses decide. */
+/** Streams that must have ended at other engines before their pauses decide. */
 const STREAM_SAMPLES_MIN = 20;
-/** Part of these streams that must have paused for longer than the most urgent declare: below it, engines apart would cost more room than pauses cost. */
+/** Share of these streams that must have paused for longer than the most urgent routes declare. */
 const LATE_SHARE_MIN = 0.1;
-/** Until then a pool of so many engines keeps some: an instance of hundreds sees two calls a second, and crowds come with the first. In a smaller pool one engine more or less is felt. */
+/** Pool size from which engines are reserved before enough streams have ended. */
 const DEFAULT_RESERVE_POOL_MIN = 24;
-/** Less urgent prompts must be so many times as long as urgent ones, in the mean, or the urgent disturb each other as much. */
+/** Minimum ratio of the mean size of less urgent prompts to that of urgent ones. */
 const PROMPT_SIZE_RATIO_MIN = 2;
-/** Part of the slots of the engines kept that urgent calls take at their peak: a crowd comes faster than engines change their use. */
+/**
+ * Share of the reserved slots that urgent calls take at their peak, leaving headroom for bursts.
+ */
 const TARGET_UTILIZATION = 0.5;
-/** Part of their declared pause that the urgent calls of one engine may add to each other's pauses. */
+/** Share of their declared pause that the urgent calls of one engine may add to their pauses. */
 const ADDED_PAUSE_SHARE_MAX = 0.25;
-/** Part of a pool that is kept at least, where any is: the first calls of a crowd come before anybody has told of them. */
+/** Minimum share of a pool to reserve, for the first calls of a burst. */
 const POOL_SHARE_MIN = 0.06;
-/** Part of a pool that is kept at most: nobody may starve. */
+/** Maximum share of a pool to reserve, so that other calls do not starve. */
 const POOL_SHARE_MAX = 0.33;
-/** Time after which a peak of urgent calls counts half, in milliseconds: crowds come and go within tens of seconds, and shared parts that move are read again. */
+/**
+ * Half-life of the peak of urgent calls, in milliseconds. Each change moves shared prefixes, which
+ * then have to be read again.
+ */
 const PEAK_HALF_LIFE_MS = 20_000;
-/** Part of what is kept that must no longer be wanted before anything is given back. */
+/** Share of the reserve that must be unneeded before it shrinks. */
 const SHRINK_SHARE = 0.3;
-/** What is kept is looked at this often, in milliseconds. */
 const UPDATE_PERIOD_MS = 200;
-/** Weight of the newest call in means: some fifty are in force. */
+/** Weight of the newest call in the moving averages. */
 const ALPHA = 0.02;
 
-/** A pool as its reserve depends on it. */
 export interface ReserveInput {
   readonly endpoints: readonly RegisteredEndpoint[];
-  /** Urgent calls under way at an engine, of all instances. */
+  /** Urgent calls of all instances running at an engine. */
   readonly countUrgent: (startId: string) => number;
-  /** What each call under way at an engine adds to the pauses of its streams, in milliseconds; 0 while unknown. */
+  /**
+   * Increase in the pause between stream events per running call, in milliseconds; 0 while unknown.
+   */
   readonly pauseMsPerCall: number;
-  /** The pause that the most urgent streams declare, in milliseconds; infinite where there are none or nobody comes after them. */
+  /**
+   * Pause declared by the most urgent streams, in milliseconds; infinite if they declare none or
+   * the pool has no less urgent routes.
+   */
   readonly urgentPauseMs: number;
 }
 
-/** A stream that ended whole. */
+/** A stream that ended successfully. */
 export interface EndedStream {
-  /** Id of its engine. */
   readonly endpoint: string;
   readonly longestPauseMs: number;
-  /** The pause that the most urgent streams of the pool declare, in milliseconds. */
+  /** Pause declared by the most urgent streams of the pool, in milliseconds. */
   readonly urgentPauseMs: number;
 }
 
-/** Reserves of one instance, by pool. */
 export interface EngineReserves {
-  /** A prompt of the pool is sent, of which its engine reads this much. */
+  /** Records a prompt sent to an engine of the pool, which reads `readTokens` of it. */
   recordPrompt(pool: string, isUrgent: boolean, readTokens: number): void;
   recordStream(pool: string, stream: EndedStream): void;
-  /** Ids of the engines kept for urgent streams; none where keeping them apart gains nothing. */
+  /** Returns the ids of the reserved engines; none if a reserve would not help. */
   choose(pool: string, input: ReserveInput, nowMs: number): ReadonlySet<string>;
 }
 
 interface PoolReserve {
   readonly urgentTokens: MovingAverage;
   readonly otherTokens: MovingAverage;
-  /** Part of the streams at other engines with a pause over what the most urgent declare. */
+  /**
+   * Share of the streams at other engines that paused for longer than the most urgent routes
+   * declare.
+   */
   readonly lateShare: MovingAverage;
   updatedMs: number;
   peak: number;
@@ -86,7 +90,7 @@
 
 const NO_ENGINES: ReadonlySet<string> = new Set();
 
-/** Whether less urgent prompts are long, and streams beside them pause for too long for the urgent. */
+/** Whether less urgent prompts are long and delay urgent streams beside them too much. */
 function isUseful(
   { urgentTokens, otherTokens, lateShare }: PoolReserve,
   { endpoints, urgentPauseMs }: ReserveInput,
@@ -97,7 +101,6 @@
   return lateShare.get(0) > LATE_SHARE_MIN;
 }
 
-/** How many engines the peak of urgent calls needs. */
 function computeTargetSize(peak: number, input: ReserveInput): number {
   const { endpoints, pauseMsPerCall, urgentPauseMs } = input;
   const slots = endpoints.reduce((sum, endpoint) => sum + endpoint.slots, 0) / endpoints.length;
@@ -109,12 +112,17 @@
   return Math.min(most, Math.max(least, needed));
 }
 
-/** Grows at once and shrinks late: each change moves the homes of shared parts. */
+/**
+ * Grows at once but shrinks with hysteresis, since each change moves the homes of shared prefixes.
+ */
 function computeSize(size: number, target: number): number {
   return target > size || target < size * (1 - SHRINK_SHARE) ? target : size;
 }
 
-/** The engines that rank highest: the same everywhere, and few others when one comes or goes. */
+/**
+ * Picks engines by hash rank: the same on all instances, and nearly the same after an engine is
+ * added or removed.
+ */
 function chooseReserved(
   endpoints: readonly RegisteredEndpoint[],
   size: number,
@@ -125,7 +133,6 @@
   return new Set(ranked.slice(0, size).map(({ id }) => id));
 }
 
-/** Builds reserves of pools of which nothing is known. */
 export function createEngineReserves(): EngineReserves {
   const pools = new Map<string, PoolReserve>();
 
@@ -157,7 +164,7 @@
     );
     pool.updatedMs = nowMs;
     pool.peak = Math.max(decayedPeak, urgent);
-    // With one engine there is nothing to keep apart.
+    // A single engine cannot be reserved.
     const isEnabled = input.endpoints.length > 1 && isUseful(pool, input);
     pool.size = isEnabled ? computeSize(pool.size, computeTargetSize(pool.peak, input)) : 0;
   }
@@ -169,7 +176,7 @@
     },
     recordStream(name, { endpoint, longestPauseMs, urgentPauseMs }) {
       const { reserved, lateShare } = getPool(name);
-      // Of the engines that are kept, only what others suffer would tell whether they should be.
+      // Only streams at other engines show whether a reserve is needed.
       if (!reserved.has(endpoint)) lateShare.add(longestPauseMs > urgentPauseMs ? 1 : 0);
     },
     choose(name, input, nowMs) {
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -1,6 +1,6 @@
 /**
- * Places calls: where each goes, whether it waits here first, and what its start says of loads and sizes.
- * Free of I/O; the decisions themselves are in the modules beside it.
+ * Places the calls of one instance: chooses endpoints, decides on admission and records the loads
+ * and sizes of calls that are sent. Performs no I/O.
  */
 import type { RoutedCall } from '../calls/call-messages.js';
 import type { RouteStanding } from '../routes/route-standing.js';
@@ -17,24 +17,23 @@
 import { createRouteSizes } from './route-sizes.js';
 import type { StreamRecord } from './stream-times.js';
 
-/** What a placer is built on. */
 export interface PlacerOptions {
   readonly loads: EndpointLoads;
   readonly random: Random;
   readonly listOpen: (pool: string) => readonly RegisteredEndpoint[];
-  /** Where a route stands among those whose streams come from the same pool. */
+  /** Rank of a route among the routes that stream from the pool. */
   readonly getStanding: (route: Route, pool: string) => RouteStanding;
-  /** Whether a data centre is out of reach for now. */
+  /** Whether a data centre is currently unreachable. */
   readonly isCut: (dataCentre: string) => boolean;
-  /** Whether an endpoint is left to others as long as there is another. */
+  /** Whether an endpoint should be used only if there is no other. */
   readonly isAvoided: (endpoint: RegisteredEndpoint) => boolean;
 }
 
-/** Places the calls of one instance. */
 export interface Placer {
   /**
-   * Where a call goes that was tried at these endpoints; nothing where none may get it. `isAlone`: its
-   * endpoint may end with it, so that it goes where least runs.
+   * Returns where to send a call, or undefined if no endpoint may get it. `tried` holds the ids of
+   * endpoints it was sent to before. A call suspected of crashing endpoints goes to the least
+   * loaded one.
    */
   choose(
     call: RoutedCall,
@@ -43,8 +42,8 @@
     nowMs: number,
   ): Placement | undefined;
   /**
-   * Whether the call goes to the endpoint it would go to, waits here or is turned away. What has begun
-   * at another endpoint goes on like the most urgent: given up, what was delivered is of no use.
+   * Decides whether the call is sent, waits or is refused. A call whose answer has begun at another
+   * endpoint counts as most urgent, since a refusal would waste what was delivered.
    */
   chooseAdmission(
     call: RoutedCall,
@@ -52,9 +51,12 @@
     isBegun: boolean,
     nowMs: number,
   ): Admission;
-  /** How long the call's first answer takes once it is sent to an engine with nothing else to read, in milliseconds; 0 while unknown. */
+  /**
+   * Predicted time from sending the call to an idle engine to its first event, in milliseconds; 0
+   * while unknown.
+   */
   predictAnswerMs(call: RoutedCall): number;
-  /** The call is sent. */
+  /** Records that the call is sent. */
   start(call: RoutedCall, placement: Placement, nowMs: number): LoadTicket;
 }
 
@@ -64,26 +66,28 @@
 
 const NO_ENGINES: ReadonlySet<string> = new Set();
 
-/** Builds a placer that has placed nothing. */
 export function createPlacer(options: PlacerOptions): Placer {
   const { loads } = options;
   const sizes = createRouteSizes();
   const reserves = createEngineReserves();
 
-  /** Whether the call is of the most urgent of a pool that has others. */
+  /** Whether the call has the most urgent of several priorities in its pool. */
   function isUrgent({ route, pool }: RoutedCall): boolean {
     const { rank, ranks } = options.getStanding(route, pool);
     return rank === 0 && ranks > 1;
   }
 
-  /** The pause that the most urgent streams of the call's pool declare, in milliseconds; infinite where nobody comes after them. */
+  /**
+   * Pause declared by the most urgent streams of the call's pool, in milliseconds; infinite if the
+   * pool has one priority only.
+   */
   function computeUrgentPauseMs({ route, pool }: RoutedCall): number {
     const { rank, ranks, urgentPauseMs } = options.getStanding(route, pool);
     if (ranks <= 1) return Infinity;
     return rank === 0 ? (route.gapTargetMs ?? Infinity) : urgentPauseMs;
   }
 
-  /** Ids of the engines that are kept for the most urgent streams of the call's pool. */
+  /** Ids of engines reserved for the most urgent streams of the call's pool. */
   function chooseReserved(call: RoutedCall, nowMs: number): ReadonlySet<string> {
     const input: ReserveInput = {
       endpoints: options.listOpen(call.pool),
--- a/src/placement/prompt-cost.ts
+++ b/src/placement/prompt-cost.ts
@@ -1,22 +1,24 @@
 /**
- * What a prompt costs at a model engine, as far as it decides where a call goes: the tokens that are
- * read before its first answer. Engines read prompts in the order they were admitted, a chunk at a
- * time between the tokens of other requests, so unread tokens are what a new prompt waits behind.
+ * Splits a prompt into a prefix shared with other prompts, which an engine may have cached, and the
+ * rest, and assigns each shared prefix a home endpoint.
+ *
+ * To read a prompt is to prefill it. Engines prefill in order of admission, so a new prompt waits
+ * behind all unread tokens.
  */
 import type { PromptPart, PromptShape } from '../calls/call-messages.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { hashName, hashPair } from '../utils/hash.js';
 
-/** A prompt as placing sees it. */
+/** Token counts that determine the cost of reading a prompt. */
 export interface PromptCost {
-  /** The last part that other prompts share; its place in the pool is chosen by it. */
+  /** Key of the shared prefix: the model and the id of its last part. */
   readonly sharedPrefix: string;
-  /** Tokens that an engine which holds the shared parts need not read. */
+  /** Tokens that an engine with the prefix in its cache does not read. */
   readonly sharedTokens: number;
   readonly ownTokens: number;
 }
 
-/** Splits a prompt into what others share and what is its own. */
+/** All parts but the last form the shared prefix; a single part is shared as a whole. */
 export function computePromptCost(prompt: PromptShape): PromptCost {
   const shared: readonly PromptPart[] =
     prompt.parts.length > 1 ? prompt.parts.slice(0, -1) : prompt.parts;
@@ -32,7 +34,7 @@
   };
 }
 
-/** Hashes of endpoints' ids: each choice asks for those of a whole pool. */
+/** Hashes of endpoint ids, cached because every choice needs those of the whole pool. */
 const hashes = new WeakMap<RegisteredEndpoint, number>();
 
 function getHash(endpoint: RegisteredEndpoint): number {
@@ -44,8 +46,8 @@
 }
 
 /**
- * The endpoint that is to keep a shared part: the one that ranks highest by rendezvous hashing, the
- * same on every instance that knows the same endpoints.
+ * Returns the endpoint that should cache a shared prefix, by rendezvous hashing: the same on every
+ * instance that knows the same endpoints.
  */
 export function findHomeEndpoint(
   sharedPart: string,
--- a/src/placement/reading-fit.ts
+++ b/src/placement/reading-fit.ts
@@ -1,37 +1,30 @@
 /**
- * Learns how long a pool's engines take to answer first: a fixed part and a part for each prompt token
- * that is read, fitted to calls that found nothing unread ahead of them, free of I/O.
- *
- * Nothing about an engine's speed is configured or assumed. Until the first calls have been answered no
- * time is known, and choices go by counts of tokens alone.
+ * Estimates the prefill speed of a pool's engines by a linear fit of the time to the first event
+ * against the prompt tokens read.
  */
 
 import { createLinearFit } from '../utils/linear-fit.js';
 
-/** Samples before the fit is used: fewer often hold one size only. */
+/** Samples required before the fit is used. */
 const SAMPLES_MIN = 10;
-/** Each new sample makes those before count this much: some 200 are in force. */
+/** Factor by which each new sample reduces the weight of earlier ones. */
 const SAMPLE_DECAY = 0.995;
 
-/** What the answers of a pool's engines say of their speed. */
 export interface PrefillSpeed {
-  /** Of any first answer, in milliseconds: a step, a round trip, timers. */
+  /** Part of the time to the first event that does not depend on the prompt, in milliseconds. */
   readonly fixedMs: number;
-  /** Of each token that is read, in milliseconds. */
   readonly msPerToken: number;
-  /** Mean tokens of a prompt that was read. */
+  /** Mean number of tokens read per prompt. */
   readonly meanTokens: number;
 }
 
-/** The fit of one pool. */
 export interface PrefillFit {
-  /** A first answer came `tookMs` after its call was sent with `tokens` to read. */
+  /** Adds a call with `tokens` to read whose first event came after `tookMs`. */
   add(tokens: number, tookMs: number): void;
-  /** Undefined while too little was seen, or where size explains nothing. */
+  /** Undefined with too few samples, or if the time does not grow with the tokens read. */
   get(): PrefillSpeed | undefined;
 }
 
-/** Builds a fit that has seen nothing. */
 export function createPrefillFit(): PrefillFit {
   const fit = createLinearFit({ retained: SAMPLE_DECAY, samplesTrusted: SAMPLES_MIN });
   return {
--- a/src/placement/reading-pace.ts
+++ b/src/placement/reading-pace.ts
@@ -1,36 +1,35 @@
 /**
- * How much longer than its pool's engines on the whole one engine takes to read prompts, free of I/O:
- * the time that first answers took against the tokens that were counted as unread ahead of them.
+ * Estimates how much longer an engine takes to read prompts than its pool, from the time to first
+ * events.
  *
- * Guards against counting on the pace of a healthy engine with warm prefixes. An engine that has
- * turned slow, or one that reads shared parts anew which were thought to be kept, falls behind what
- * is counted: it shows as urgent calls that wait for seconds at engines whose count of unread tokens
- * promises half a second. What is learned from answers needs to know neither cause.
+ * Guards against sending urgent calls to an engine that is slower than its unread tokens suggest,
+ * because it is degraded or its prefix cache is cold.
  */
 import { createDecayingSums } from '../utils/decaying-sums.js';
 import type { DecayingSums } from '../utils/decaying-sums.js';
 import type { PrefillSpeed } from './reading-fit.js';
 
-/** Tokens that one engine read and the time it took, in milliseconds; older samples count less. */
+/** Tokens read by an engine and the time taken, in milliseconds, with exponential decay. */
 export interface PrefillSums {
   readonly readTokens: number;
   readonly readMs: number;
 }
 
-/** Time after which a sample counts half, in milliseconds: bursts and slow spells last seconds. */
+/** Half-life of a sample, in milliseconds. */
 const HALF_LIFE_MS = 2000;
-/** Prompts of mean size, read at the pool's pace, that stand in for samples not seen yet: one odd answer must not decide. */
+/** Weight of the pool's speed in the estimate, in prompts of mean size. */
 const PRIOR_PROMPTS = 4;
-/** Bounds of how many times slower an engine counts, so that one odd sample does not decide. */
+/** Bounds that limit the effect of outliers. */
 const SLOWDOWN_MIN = 0.7;
 const SLOWDOWN_MAX = 8;
 
-/** Builds the sums of one engine. */
 export function createPrefillSums(): DecayingSums<keyof PrefillSums> {
   return createDecayingSums(['readTokens', 'readMs'], HALF_LIFE_MS);
 }
 
-/** What a first answer tells that came `tookMs` after its call was sent, behind and with `tokens` unread tokens. */
+/**
+ * Builds the sample of a first event that came after `tookMs`, with `tokens` to read until then.
+ */
 export function buildPrefillSample(
   tokens: number,
   tookMs: number,
@@ -42,7 +41,7 @@
   };
 }
 
-/** How many times longer than the pool's engines on the whole one takes to read. */
+/** Returns the time the engine takes to read prompts, relative to its pool. */
 export function computeSlowdown(
   { readTokens, readMs }: PrefillSums,
   { msPerToken, meanTokens }: PrefillSpeed,
--- a/src/placement/route-sizes.ts
+++ b/src/placement/route-sizes.ts
@@ -1,18 +1,17 @@
-/** Learns how large the prompts and answers of each route are, by pool, free of I/O. */
+/** Tracks the mean prompt and answer size of each route, by pool. */
 import type { Route } from '../types/traffic.js';
 import { createMovingAverage } from '../utils/moving-average.js';
 import type { MovingAverage } from '../utils/moving-average.js';
 
-/** Weight of the newest call in a route's means: some fifty are in force. */
+/** Weight of the newest call in the moving averages. */
 const SIZE_ALPHA = 0.02;
 
-/** Sizes of routes' prompts and answers. */
 export interface RouteSizes {
-  /** A call of the route makes an engine read this many tokens. */
+  /** Records the prompt tokens that an engine reads for a call. */
   recordTokens(route: Route, pool: string, tokens: number): void;
-  /** The whole answer to a call of the route had this many events. */
+  /** Records the number of events in a complete answer. */
   recordEvents(route: Route, pool: string, events: number): void;
-  /** The mean of what was recorded; 0 while unknown. */
+  /** Mean of the recorded values; 0 while unknown. */
   getMeanTokens(route: Route, pool: string): number;
   getMeanEvents(route: Route, pool: string): number;
 }
@@ -22,7 +21,6 @@
   readonly events: MovingAverage;
 }
 
-/** Builds sizes of which nothing is known. */
 export function createRouteSizes(): RouteSizes {
   const sizesOfPool = new Map<string, Map<string, Sizes>>();
 
--- a/src/placement/stream-pace.ts
+++ b/src/placement/stream-pace.ts
@@ -1,34 +1,33 @@
 /**
- * Learns how the pauses between events of a pool's streams grow with the calls under way at an engine,
- * free of I/O. Nothing about an engine's steps is configured or assumed.
+ * Predicts the pause between stream events from the number of calls running at an engine.
  *
- * Guards against engines that begin every stream in time and end few: each call under way lengthens
- * each step, so that a stream of many steps outlasts its caller. It shows as pauses that rise together
- * at all streams of an engine, long before one exceeds what is declared.
+ * Guards against engines that start streams in time but finish them too late, because each running
+ * call lengthens every decoding step.
  */
 import { createDecayingSums } from '../utils/decaying-sums.js';
 import { createLinearFit } from '../utils/linear-fit.js';
 
-/** Time after which a pause counts half, in milliseconds: some ten events of a stream at a usual pace. */
+/** Half-life of a recent pause, in milliseconds. */
 const HALF_LIFE_MS = 500;
-/** Recent pauses, in decayed number, below which nothing is predicted: one slow link must not decide. */
+/** Recent pauses required for a prediction, after decay. */
 const RECENT_PAUSES_MIN = 5;
-/** Each pause makes those before count this much: some 2,000 are in force, quiet and busy seconds among them. */
+/** Factor by which each new pause reduces the weight of earlier ones. */
 const SAMPLE_DECAY = 0.9995;
-/** Pauses before the growth is used. */
+/** Pauses required before the fit is used. */
 const SAMPLES_MIN = 50;
 
-/** The pace of one pool's streams. */
 export interface PauseModel {
-  /** Two events came `pauseMs` apart from an engine with `running` calls under way. */
+  /** Adds a pause between two events of a stream, at an engine with `running` calls. */
   add(pauseMs: number, running: number, nowMs: number): void;
-  /** The mean pause at an engine with `running` calls, in milliseconds; undefined while too little was seen. */
+  /**
+   * Mean pause at an engine with `running` calls, in milliseconds; undefined with too few recent
+   * pauses.
+   */
   predictPauseMs(running: number, nowMs: number): number | undefined;
-  /** What each call under way adds to a pause, in milliseconds; 0 while unknown. */
+  /** Increase in the pause per running call, in milliseconds; 0 while unknown. */
   getMsPerCall(): number;
 }
 
-/** Builds a pace of which nothing is known. */
 export function createPauseModel(): PauseModel {
   const fit = createLinearFit({ retained: SAMPLE_DECAY, samplesTrusted: SAMPLES_MIN });
   const recent = createDecayingSums(['pauses', 'pauseMs', 'running'], HALF_LIFE_MS);
@@ -44,7 +43,7 @@
       if (sums.pauses < RECENT_PAUSES_MIN) return undefined;
       const meanMs = sums.pauseMs / sums.pauses;
       const meanRunning = Math.max(1, sums.running / sums.pauses);
-      // A step without any call takes time too: pauses grow less than in proportion.
+      // A step takes time even without calls, so pauses grow less than in proportion.
       const slope = Math.min(meanMs / meanRunning, getMsPerCall());
       return meanMs + slope * (running - meanRunning);
     },
--- a/src/placement/stream-times.ts
+++ b/src/placement/stream-times.ts
@@ -1,30 +1,30 @@
-/** When the events of one stream came: how many, at which pace, and the longest pause between two. */
+/** Measures the pauses between a stream's events. */
 import type { EndpointLoad } from './told-loads.js';
 
-/** The longest pause between two events of a stream, and what its engine had to do then. */
+/** The longest pause between two events, with the load of the engine when it began. */
 export interface LongestPause extends EndpointLoad {
   readonly pauseMs: number;
-  /** Events that came before it. */
+  /** Number of events before the pause. */
   readonly afterEvents: number;
 }
 
-/** What is known of a stream's events. */
 export interface StreamRecord {
   readonly events: number;
-  /** Mean pause between two events, in milliseconds; 0 before the second. */
+  /** Mean pause between two events, in milliseconds; 0 before the second event. */
   readonly meanPauseMs: number;
   /** Undefined before the second event. */
   readonly longestPause: LongestPause | undefined;
 }
 
-/** The times of one stream. */
 export interface StreamTimes {
-  /** An event came; `load` is what is under way at its engine from now on. Returns the pause before it, in milliseconds, if one came earlier. */
+  /**
+   * Records an event and the load of the engine from then on. Returns the pause before the event,
+   * in milliseconds; undefined for the first event.
+   */
   recordEvent(nowMs: number, load: EndpointLoad): number | undefined;
   get(): StreamRecord;
 }
 
-/** Builds the times of a stream without events. */
 export function createStreamTimes(): StreamTimes {
   let events = 0;
   let firstMs = 0;
--- a/src/placement/told-loads.ts
+++ b/src/placement/told-loads.ts
@@ -1,39 +1,39 @@
 /**
- * What other instances tell of their loads, summed up by endpoint, free of I/O. The sums are kept up to
- * date as tellings come, so that a choice among a hundred endpoints need not add up those of a fleet.
+ * Loads reported by other instances, summed by endpoint. Sums are updated with each report, so that
+ * a lookup does not depend on the size of the fleet.
  */
 import { hashName } from '../utils/hash.js';
 import type { FailureCounts } from './failure-shares.js';
 import type { PrefillSums } from './reading-pace.js';
 
-/** What is under way at one endpoint. */
+/** Calls in progress at one endpoint. */
 export interface EndpointLoad {
-  /** Calls under way. */
   readonly running: number;
-  /** Prompt tokens sent for which no first answer has come. */
+  /** Prompt tokens of calls whose first event has not come yet. */
   readonly unreadTokens: number;
 }
 
-/** The same, with what decides which engines are kept for urgent calls. */
 export interface FleetLoad extends EndpointLoad {
-  /** Those of the calls under way that are of the most urgent routes. */
+  /** Running calls of the most urgent routes. */
   readonly urgent: number;
 }
 
-/** Names one start of an endpoint among instances: a hash of its id, which is short on the wire. */
+/** Identifies one start of an endpoint in messages between instances: a hash of its start id. */
 export type EndpointKey = number;
 
-/** What somebody has under way at one endpoint and how calls fared there lately. */
+/** One instance's load at an endpoint and the recent outcomes of its calls there. */
 export interface EndpointShareOfLoad extends FleetLoad, FailureCounts, PrefillSums {
   readonly endpoint: EndpointKey;
 }
 
-/** What is told of one endpoint, summed up. */
 export type LoadSums = Omit<EndpointShareOfLoad, 'endpoint'>;
 
-/** Tellings by their source. */
+/** Loads by the source that reported them. */
 export interface RemoteLoads {
-  /** Replaces what the source told before; its failures count where it is of the own data centre. */
+  /**
+   * Replaces the source's previous report. Failures count only within the same data centre, since
+   * an endpoint may fail the calls of one data centre alone.
+   */
   set(
     source: string,
     shares: readonly EndpointShareOfLoad[],
@@ -41,12 +41,12 @@
     nowMs: number,
   ): void;
   clear(): void;
-  /** Leaves out what was told longer than `ageMaxMs` ago. */
+  /** Removes reports older than `ageMaxMs`. */
   removeExpired(nowMs: number, ageMaxMs: number): void;
   get(endpoint: EndpointKey): LoadSums;
-  /** Every endpoint that is told of. */
+  /** Sums of all reported endpoints. */
   list(): EndpointShareOfLoad[];
-  /** What one source told last. */
+  /** The source's latest report. */
   listFrom(source: string): readonly EndpointShareOfLoad[];
 }
 
@@ -58,11 +58,10 @@
 
 interface Entry {
   sums: { -readonly [K in keyof LoadSums]: number };
-  /** Tellings that name the endpoint. */
+  /** Number of sources that report the endpoint. */
   sources: number;
 }
 
-/** Nothing under way and nothing known. */
 const NO_LOAD: LoadSums = {
   running: 0,
   urgent: 0,
@@ -73,12 +72,11 @@
   readMs: 0,
 };
 
-/** Names one start of an endpoint among instances. */
 export function hashStart(startId: string): EndpointKey {
   return hashName(startId);
 }
 
-/** Adds `load` to the sums, or takes it away. */
+/** Adds `load` to the sums, or subtracts it. */
 function addLoad(sums: Entry['sums'], load: LoadSums, sign: 1 | -1): void {
   sums.running += sign * load.running;
   sums.urgent += sign * load.urgent;
@@ -89,7 +87,7 @@
   sums.readMs += sign * load.readMs;
 }
 
-/** Shares of several instances, summed up by endpoint. */
+/** Sums the shares of several instances by endpoint. */
 export function mergeShares(
   lists: readonly (readonly EndpointShareOfLoad[])[],
 ): EndpointShareOfLoad[] {
@@ -104,7 +102,6 @@
   return [...sums].map(([endpoint, sum]) => ({ endpoint, ...sum }));
 }
 
-/** Builds tellings of nobody. */
 export function createRemoteLoads(): RemoteLoads {
   const loadsOfSource = new Map<string, SourceLoads>();
   const entries = new Map<EndpointKey, Entry>();
@@ -114,7 +111,7 @@
       const entry = entries.get(share.endpoint) ?? { sums: { ...NO_LOAD }, sources: 0 };
       addLoad(entry.sums, isSameDataCentre ? share : { ...share, answers: 0, failures: 0 }, sign);
       entry.sources += sign;
-      // Dropped rather than left at zero: sums of fractions would keep a rest.
+      // Deleted rather than left at zero, since sums of fractions leave rounding errors.
       if (entry.sources > 0) entries.set(share.endpoint, entry);
       else entries.delete(share.endpoint);
     }
