--- a/src/load-sharing/fleet-loads.test.ts
+++ b/src/load-sharing/fleet-loads.test.ts
@@ -1,4 +1,4 @@
-/** Plays of whole fleets: what choosers believe of engines, and what callers get. */
+/** Simulates whole fleets and checks how well instances know the load of engines. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
 import { runFleetPlay } from '../test/fleet-play.js';
@@ -8,11 +8,13 @@
 const ENGINES = 20;
 const SLOTS = 16;
 const ROUTES = buildMixedRoutes({ engines: ENGINES, lookupGapMs: 150, sharedParts: 100 });
-/** The route whose calls are the most urgent. */
 const LOOKUP = 'lookup';
-/** What a chooser may be wrong by, in calls: the slots by which less urgent calls leave room for urgent ones. */
+/**
+ * Maximum mean error of the load known to an instance, in calls: the slots left to more urgent
+ * calls.
+ */
 const LOAD_ERROR_MAX = SLOTS / 8;
-/** Part of the lookups that must be in time while twice the usual calls come. */
+/** Share of the lookups that must meet their target during a burst. */
 const IN_TIME_MIN = 0.95;
 
 function computeInTime(calls: readonly PlayedCall[]): number {
@@ -38,21 +40,22 @@
     settlingMs: 8000,
   });
   const inTime = computeInTime(calls);
-  t.true(meanBeliefError <= LOAD_ERROR_MAX, `wrong by ${meanBeliefError.toFixed(2)} calls`);
+  t.true(
+    meanBeliefError <= LOAD_ERROR_MAX,
+    `mean load error of ${meanBeliefError.toFixed(2)} calls`,
+  );
   t.true(inTime >= IN_TIME_MIN, `${inTime.toFixed(3)} of the lookups in time`);
   t.log(
-    `${instances} instances: ${meanBeliefError.toFixed(2)} calls wrong, ${inTime.toFixed(3)} of the lookups in time, ${datagramsPerSecond.toFixed(1)} datagrams a second`,
+    `${instances} instances: mean load error of ${meanBeliefError.toFixed(2)} calls, ${inTime.toFixed(3)} of the lookups in time, ${datagramsPerSecond.toFixed(1)} datagrams a second`,
   );
 }
 
 describe('loads of a fleet', ({ it }) => {
-  // A lookup is sent to an engine that is full while others have room, and crawls. Every instance told
-  // six others what it had under way, drawn anew ten times a second: of 70, one hears of each other once
-  // in 1.1 s, of 195 once in 3.2 s, and engines turn over in a fraction of that. What was believed of an
-  // engine was wrong by 5.0 and 8.7 calls in the mean, by this play's own record.
-  it('are known to within an eighth of the slots at 70 instances', (t) =>
+  // Guards against outdated loads, which send lookups to engines that are full while others have
+  // room.
+  it('have a mean error of at most an eighth of the slots with 70 instances', (t) =>
     checkFleetLoads(t, 70, 3));
 
-  it('are known to within an eighth of the slots at 195 instances', (t) =>
+  it('have a mean error of at most an eighth of the slots with 195 instances', (t) =>
     checkFleetLoads(t, 195, 5));
 });
--- a/src/load-sharing/load-exchange.test.ts
+++ b/src/load-sharing/load-exchange.test.ts
@@ -27,7 +27,9 @@
   readonly exchange: LoadExchange;
 }
 
-/** A fleet whose tellings arrive within the period, but for those to and from who is silenced. */
+/**
+ * Creates a fleet whose updates arrive within the period, except from and to silenced instances.
+ */
 function createFleet(instances: number, dataCentres: number) {
   const members: LoadMember[] = Array.from({ length: instances }, (_, index) => ({
     name: `i-${index}`,
@@ -65,13 +67,13 @@
       }
     },
     getNow: () => nowMs,
-    /** What each instance holds for under way at the engine. */
+    /** The calls that each instance knows to be running at the engine. */
     listRunning: () => fleet.map(({ loads }) => loads.get('engine').running),
   };
 }
 
-describe('exchange of loads', ({ it }) => {
-  it('lets everybody know of everybody within a few periods, at any size', (t) => {
+describe('load exchange', ({ it }) => {
+  it('distributes all loads to all instances within a few periods at any fleet size', (t) => {
     for (const [instances, dataCentres] of [
       [1, 1],
       [7, 3],
@@ -88,9 +90,9 @@
     }
   });
 
-  // Calls begin and end at all instances while tellings travel. Once nothing changes any more, nobody
-  // may believe in calls that are over, or count one twice: such an engine would look full for ever.
-  it('comes to the truth whatever happened before', (t) => {
+  // Guards against calls that are counted twice or after their end, which would make an engine look
+  // full.
+  it('converges to the correct loads after any sequence of calls', (t) => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 1000 }),
@@ -120,9 +122,8 @@
     );
   });
 
-  // A head dies. Membership takes seconds to know; until then its group would send calls by what each
-  // alone has under way, and the others would go on counting calls that nobody reports.
-  it('finds another head within a second when one falls silent', (t) => {
+  // Guards against outdated loads until membership detects the failure of an aggregator.
+  it('replaces a silent aggregator in less than two seconds', (t) => {
     const world = createFleet(70, 3);
     world.runPeriods(8);
     const [dead] = world.aggregators;
@@ -137,7 +138,7 @@
     t.deepEqual(new Set(believed), new Set([69]));
   });
 
-  it('keeps the tellings of one instance bounded, whatever the size of the fleet', (t) => {
+  it('bounds the updates sent by one instance in a large fleet', (t) => {
     const world = createFleet(300, 5);
     world.runPeriods(8);
     const counts = world.fleet.map(({ exchange, loads }) => {
@@ -149,7 +150,7 @@
     t.is([...counts].sort((a, b) => a - b)[150], 1);
   });
 
-  it('tells which data centres are heard', (t) => {
+  it('reports which data centres are heard', (t) => {
     const world = createFleet(70, 3);
     world.runPeriods(8);
     const aggregator = world.fleet.find(
@@ -167,8 +168,8 @@
   });
 });
 
-describe('heads', ({ it }) => {
-  it('are everybody in a small fleet, and two of each data centre at least in a large one', (t) => {
+describe('aggregators', ({ it }) => {
+  it('are all instances of a small fleet and at least two per data centre of a large one', (t) => {
     const build = (count: number): LoadMember[] =>
       Array.from({ length: count }, (_, index) => ({
         name: `i-${index}`,
@@ -180,7 +181,7 @@
     t.is(chooseAggregators(build(195)).length, 15);
   });
 
-  it('are shared out evenly', (t) => {
+  it('are preferred evenly', (t) => {
     const aggregators = ['a', 'b', 'c'];
     const counts = new Map<string, number>();
     for (let index = 0; index < 300; index += 1) {
--- a/src/placement/choose-endpoint.test.ts
+++ b/src/placement/choose-endpoint.test.ts
@@ -53,10 +53,10 @@
   };
 }
 
-/** Milliseconds in which the engines of these tests read a token. */
+/** Time in which the engines of these tests read a token, in milliseconds. */
 const TOKEN_MS = 1 / 112;
 
-/** Loads that know the engines' pace from prompts read elsewhere. */
+/** Loads that have learned the prefill speed of the pool. */
 function createTrainedLoads(): EndpointLoads {
   const loads = createEndpointLoads();
   for (let count = 0; count < 20; count += 1) {
@@ -73,10 +73,10 @@
   loads.start(buildEndpoint(id), unreadTokens, 0);
 }
 
-/** Milliseconds that each call under way adds to the pause between two events. */
+/** Increase in the pause between two events per running call, in milliseconds. */
 const PAUSE_MS_PER_CALL = 1;
 
-/** Lets loads learn how pauses grow with calls, from streams at an engine of its own. */
+/** Records streams at a separate engine, from which the loads learn how pauses grow with calls. */
 function addStreamPauses(loads: EndpointLoads): void {
   const engine = buildEndpoint('streaming');
   for (let running = 1; running <= 20; running += 1) {
@@ -87,7 +87,9 @@
   }
 }
 
-/** Plays histories with kept parts on six engines; returns tokens read and the longest reading queue. */
+/**
+ * Simulates prompts with shared parts on six engines; returns the tokens read and the longest wait.
+ */
 function runSharedPrompts(choose: (input: ChoiceInput) => string): {
   read: number;
   longestMs: number;
@@ -115,7 +117,7 @@
 
 describe('choosing an endpoint', ({ describe: block }) => {
   block('for prompts', ({ it }) => {
-    it('keeps prompts with a shared part together, on every instance alike', (t) => {
+    it('sends prompts with the same shared part to one endpoint, on every instance', (t) => {
       for (const part of ['x', 'y', 'z']) {
         const chosen = [1, 2, 3].map(
           (seed) =>
@@ -127,9 +129,9 @@
       }
     });
 
-    // The load: one history in 30 ms over 150 shared parts of 13,300 tokens. Spread at random nearly
-    // every part is read by every engine; kept together each is read once.
-    it('reads far fewer tokens than spreading them', (t) => {
+    // Guards against spreading 150 shared parts over all engines, each of which would read every
+    // part.
+    it('reads far fewer tokens than random placement', (t) => {
       const together = runSharedPrompts((input) => chooseEndpoint(input)?.endpoint.id ?? '');
       const spread = runSharedPrompts(
         ({ endpoints, random }) => endpoints[random.nextIndex(endpoints.length)]?.id ?? '',
@@ -138,9 +140,8 @@
       t.true(together.longestMs < spread.longestMs, `${together.longestMs}, ${spread.longestMs}`);
     });
 
-    // One part is asked for far more than others; its engine is behind by more than reading the part
-    // elsewhere would take.
-    it('leaves an engine that is too far behind', (t) => {
+    // Guards against queueing behind a busy home for longer than reading the part elsewhere takes.
+    it('leaves the home when its queue of unread tokens is too long', (t) => {
       const loads = createTrainedLoads();
       const prompt = buildPrompt('x', 2000, 1000);
       const home = chooseEndpoint(buildInput({ prompt, loads }))?.endpoint.id ?? '';
@@ -152,11 +153,9 @@
       t.is(placement?.readTokens, 3000);
     });
 
-    // Lookups end after ten seconds or never, all at one engine. In a burst it had fewest prompts
-    // unread, which a lookup never waits behind, and 60 to 130 calls under way where the others had 35
-    // to 50: each call adds to every step, and a lookup takes 170 of them. Proved by a played day: 205 of
-    // 248 logged lookups of a burst went to one of three engines.
-    it('keeps long answers from an engine where many calls lengthen each step', (t) => {
+    // Guards against sending long answers to the engine with the fewest unread tokens although its
+    // many running calls slow down streams.
+    it('avoids engines with many running calls for long answers', (t) => {
       const loads = createTrainedLoads();
       const endpoints = ['a', 'b'].map((id) => buildEndpoint(id));
       addRunning(loads, 'a', 90, 0);
@@ -169,10 +168,9 @@
       t.deepEqual(placements, ['a', 'b']);
     });
 
-    // A fleet of engines with 16 slots each, and one shared part in great demand: its home has 20
-    // calls under way. Beyond its slots it would refuse; a call with time left waits for it, one that
-    // is about to be late goes where the part must be read first.
-    it('leaves a home without a free slot only when time runs out', (t) => {
+    // Guards against leaving a cached part at once when its home is full, and against missing the
+    // target by waiting for a slot there.
+    it('leaves a home without a free slot only when the call is about to miss its target', (t) => {
       const endpoints = ['a', 'b', 'c'].map((id) => ({ ...buildEndpoint(id), slots: 16 }));
       const loads = createTrainedLoads();
       const input = { endpoints, prompt: buildPrompt('x', 6300, 2890), loads };
@@ -182,7 +180,7 @@
       t.not(chooseEndpoint(buildInput({ ...input, waitedShare: 0.6 }))?.endpoint.id, home);
     });
 
-    it('counts what other instances tell of an engine', (t) => {
+    it('counts load reported by other instances', (t) => {
       const loads = createTrainedLoads();
       const prompt = buildPrompt('x', 200, 1000);
       const home = chooseEndpoint(buildInput({ prompt, loads }))?.endpoint.id ?? '';
@@ -198,8 +196,11 @@
     });
   });
 
-  block('where an endpoint fails part of its calls', ({ it }) => {
-    /** Plays 20 s of calls at 15 a second on six endpoints, `a` of which fails 45% of them at once; returns how many failed. */
+  block('when an endpoint fails some of its calls', ({ it }) => {
+    /**
+     * Simulates 20 s of calls at 15 per second on six endpoints, of which `a` fails 45% at once;
+     * returns the number of failures.
+     */
     function countFailed(prompt: (count: number) => PromptShape | undefined): number {
       const random = createRandom(5);
       const loads = createTrainedLoads();
@@ -223,22 +224,20 @@
       return failed;
     }
 
-    // A clerk's queries come back with errors again and again. One runner of six answers 45% of its
-    // calls with an error within milliseconds, so it always has the fewest calls under way, and its
-    // health says it is sound. Where failures do not count, 38 of 300 plain calls fail; counted, 7.
-    it('keeps plain calls from it', (t) => {
+    // Guards against an endpoint that fails quickly and attracts calls because few of them run
+    // there.
+    it('sends it few calls without a prompt', (t) => {
       const failed = countFailed(() => undefined);
       t.true(failed <= 12, `${failed} of 300 failed`);
     });
 
-    // The same for prompts, whose shared parts have their home there: 150 parts, a sixth of them at
-    // the failing engine. Where failures do not count, 18 of 300 prompts fail; counted, 10.
-    it('keeps prompts from it though their shared parts are there', (t) => {
+    // The same for prompts, a sixth of which have their home at the failing engine.
+    it('sends it few prompts even if it is their home', (t) => {
       const failed = countFailed((count) => buildPrompt(`part-${(count * 7) % 150}`, 6300, 2890));
       t.true(failed <= 13, `${failed} of 300 failed`);
     });
 
-    it('believes what instances of the own data centre tell, while they tell it', (t) => {
+    it('uses failures reported within its data centre until the report expires', (t) => {
       const loads = createTrainedLoads();
       const failing = buildShare({ answers: 9, failures: 5 });
       loads.remote.set('far', [failing], false, 0);
@@ -249,7 +248,7 @@
       t.is(loads.getFailureRate('a', 5000), 0);
     });
 
-    it('trusts it again after a while, and forgives a single failure', (t) => {
+    it('ignores a single failure and forgets failures after a while', (t) => {
       const loads = createTrainedLoads();
       loads.start(buildEndpoint('a'), 0, 0).recordEnd(ENDPOINT_VERDICT.Errored, 0);
       t.is(loads.getFailureRate('a', 0), 0);
@@ -262,9 +261,8 @@
   });
 
   block('for any call', ({ it }) => {
-    // A data centre is cut off; its endpoints are still registered. Calls go to those in reach, and
-    // to the others only where nothing else is left.
-    it('passes over what is out of reach', (t) => {
+    // The endpoints of an unreachable data centre are still registered.
+    it('skips unreachable data centres while there are other endpoints', (t) => {
       const endpoints = [buildEndpoint('near'), buildEndpoint('far', 'cut')];
       const isCut = (dataCentre: string): boolean => dataCentre === 'cut';
       t.is(chooseEndpoint(buildInput({ endpoints, isCut }))?.endpoint.id, 'near');
@@ -272,9 +270,8 @@
       t.is(chooseEndpoint(buildInput({ endpoints, isCut, excluded }))?.endpoint.id, 'far');
     });
 
-    // An endpoint crashed; its entry stays for some seconds. After one refused connection it gets no
-    // further call, then one at a time until it answers.
-    it('sets an unreachable endpoint aside and asks it again with one call', (t) => {
+    // A crashed endpoint stays registered for some seconds.
+    it('skips an unreachable endpoint and probes it with one call at a time', (t) => {
       const loads = createTrainedLoads();
       const endpoints = [buildEndpoint('dead'), buildEndpoint('live')];
       loads.start(buildEndpoint('dead'), 0, 0).recordEnd(ENDPOINT_VERDICT.Unreachable, 0);
@@ -289,7 +286,7 @@
       t.is(chooseEndpoint(buildInput({ endpoints, loads, nowMs: 1600 }))?.endpoint.id, 'dead');
     });
 
-    it('gives nothing where every endpoint was tried', (t) => {
+    it('returns undefined when every endpoint was tried', (t) => {
       const endpoints = [buildEndpoint('a')];
       t.is(chooseEndpoint(buildInput({ endpoints, excluded: ['a'] })), undefined);
     });
--- a/src/placement/engine-reserve.test.ts
+++ b/src/placement/engine-reserve.test.ts
@@ -24,7 +24,7 @@
   });
 }
 
-/** A pool with so many urgent calls under way, spread evenly. */
+/** Builds a pool whose urgent calls are spread evenly. */
 function buildInput(
   engines: number,
   urgent: number,
@@ -39,7 +39,7 @@
   };
 }
 
-/** Reserves that saw long prompts beside short urgent ones. */
+/** Reserves that have recorded long prompts beside short urgent ones. */
 function createTrainedReserves(): EngineReserves {
   const reserves = createEngineReserves();
   reserves.recordPrompt(POOL, true, 1400);
@@ -57,30 +57,30 @@
   }
 }
 
-describe('engines kept for urgent streams', ({ it }) => {
-  it('are as many as urgent calls fill by half, and the same on every instance', (t) => {
+describe('engines reserved for urgent streams', ({ it }) => {
+  it('are sized for half utilization, and the same on every instance', (t) => {
     const input = buildInput(82, 140);
     const reserved = createTrainedReserves().choose(POOL, input, 0);
     t.is(reserved.size, Math.ceil(140 / (SLOTS / 2)));
     t.deepEqual(createTrainedReserves().choose(POOL, input, 0), reserved);
   });
 
-  it('are a few before the first urgent call', (t) => {
+  it('have a minimum before the first urgent call', (t) => {
     t.is(createTrainedReserves().choose(POOL, buildInput(82, 0), 0).size, 5);
   });
 
-  it('are more where calls under way lengthen pauses much', (t) => {
+  it('are more when running calls lengthen pauses considerably', (t) => {
     const paced = buildInput(82, 140, { pauseMsPerCall: 5 });
     t.is(createTrainedReserves().choose(POOL, paced, 0).size, Math.ceil(140 / 7.5));
   });
 
-  // Everybody else must still be served: a crowd of urgent calls may not take a whole pool.
-  it('are a third of the pool at most', (t) => {
+  // Guards against urgent bursts that starve all other calls.
+  it('are at most a third of the pool', (t) => {
     t.is(createTrainedReserves().choose(POOL, buildInput(82, 5000), 0).size, 27);
     t.is(createTrainedReserves().choose(POOL, buildInput(1, 5000), 0).size, 0);
   });
 
-  it('are none where nobody is less urgent, or prompts are alike', (t) => {
+  it('are none without less urgent routes, or when prompts are of similar size', (t) => {
     const alone = buildInput(82, 140, { urgentPauseMs: Infinity });
     t.is(createTrainedReserves().choose(POOL, alone, 0).size, 0);
     const alike = createEngineReserves();
@@ -89,9 +89,8 @@
     t.is(alike.choose(POOL, buildInput(82, 140), 0).size, 0);
   });
 
-  // Six engines serve streams that declare a quarter of a second. Nothing that is read there delays one
-  // for as long: an engine taken from the histories would be missed, and gain nothing.
-  it('are none where streams beside long prompts are in time', (t) => {
+  // Guards against taking engines from other calls where urgent streams do not stall.
+  it('are none when streams beside long prompts do not stall', (t) => {
     const reserves = createTrainedReserves();
     t.is(reserves.choose(POOL, buildInput(6, 12), 0).size, 0);
     recordPauses(reserves, 120, 30);
@@ -99,15 +98,15 @@
     t.is(reserves.choose(POOL, buildInput(82, 140), 2000).size, 0);
   });
 
-  it('are some where streams beside long prompts pause for too long, however small the pool', (t) => {
+  it('exist in a small pool when streams beside long prompts stall', (t) => {
     const reserves = createTrainedReserves();
     recordPauses(reserves, 170, 30);
     t.is(reserves.choose(POOL, buildInput(6, 12), 0).size, 1);
   });
 
-  // A crowd of lookups ebbs and swells by the second. Engines that changed their use as often would
-  // have the shared parts of histories moved from one to another and read again each time.
-  it('grow at once and are given back late', (t) => {
+  // Guards against moving shared prefixes, and reading them again, whenever the urgent load
+  // changes.
+  it('grow at once and shrink late', (t) => {
     const reserves = createTrainedReserves();
     t.is(reserves.choose(POOL, buildInput(80, 60), 0).size, 5);
     t.is(reserves.choose(POOL, buildInput(80, 120), 500).size, 10);
@@ -115,7 +114,7 @@
     t.true(reserves.choose(POOL, buildInput(80, 60), 25_000).size < 10);
   });
 
-  it('stay what they are but for one when an engine comes or goes', (t) => {
+  it('change by at most one when an engine is removed', (t) => {
     fc.assert(
       fc.property(fc.integer({ min: 30, max: 120 }), fc.nat(1000), (count, seed) => {
         const before = buildInput(count, count);
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -33,10 +33,8 @@
 };
 
 describe('placer', ({ it }) => {
-  // A draft stops in the middle for good, though another engine could go on with it. Its engine had
-  // crashed in an overload, after more of its time than a call may wait, and the others had no slot
-  // free: turned away like a call that has not begun, what the caller had read was of no use.
-  it('lets an answer that has begun go on where a new call is turned away', (t) => {
+  // Guards against refusing a call whose engine crashed after its answer had begun.
+  it('sends a call whose answer has begun where a new call is refused', (t) => {
     const loads = createEndpointLoads();
     for (let count = 0; count < 24; count += 1) loads.start(ENGINE, 0, 0);
     const placer = createPlacer({
--- a/src/placement/reading-pace.test.ts
+++ b/src/placement/reading-pace.test.ts
@@ -5,7 +5,7 @@
 import type { EndpointLoads } from './endpoint-loads.js';
 import { createPrefillFit } from './reading-fit.js';
 
-/** What answers take beside reading, in milliseconds. */
+/** Part of the time to the first event that does not depend on the prompt, in milliseconds. */
 const FIXED_MS = 45;
 
 function buildEndpoint(id: string): RegisteredEndpoint {
@@ -21,7 +21,10 @@
   };
 }
 
-/** Plays prompts of changing size that are read one after the other; returns when the last was answered. */
+/**
+ * Simulates prompts of varying size that are read one at a time; returns the time of the last
+ * answer.
+ */
 function runPrompts(
   loads: EndpointLoads,
   id: string,
@@ -40,11 +43,10 @@
   return nowMs;
 }
 
-describe('reading pace', ({ describe: block }) => {
+describe('prefill speed', ({ describe: block }) => {
   block('of a pool', ({ it }) => {
-    // A deployment nobody has seen: its engines read four times slower than any other's. Counted at
-    // the pace of others, queues that take a second would look like a quarter of one.
-    it('is found for engines of any speed, apart from what every answer takes', (t) => {
+    // Guards against assuming a prefill speed, which would misjudge the queues of other engines.
+    it('is estimated for engines of any speed, apart from the fixed time', (t) => {
       for (const tokensPerMs of [20, 57, 112, 300]) {
         const loads = createEndpointLoads();
         t.is(loads.getPoolPace('p').reading, undefined);
@@ -55,13 +57,13 @@
       }
     });
 
-    it('is not told where size explains nothing', (t) => {
+    it('is undefined when the time does not grow with prompt size', (t) => {
       const fit = createPrefillFit();
       for (let count = 0; count < 50; count += 1) fit.add(1000, 50 + (count % 7));
       t.is(fit.get(), undefined);
     });
 
-    it('does not count what waited behind other prompts', (t) => {
+    it('ignores calls that waited behind other prompts', (t) => {
       const loads = createEndpointLoads();
       loads.start(buildEndpoint('a'), 50_000, 0);
       for (let count = 0; count < 30; count += 1) {
@@ -72,9 +74,8 @@
   });
 
   block('of one engine', ({ it }) => {
-    // The counter opens on cold engines: prompts that are counted at a few thousand tokens are read
-    // with their 13,300 shared ones, so that what promises 0.1 s takes 0.2 s more, and clerks wait.
-    it('follows an engine that reads more than is counted, and forgets', (t) => {
+    // Guards against counting prefixes as cached at an engine with a cold cache.
+    it('shows an engine with a cold cache as slow and forgets it later', (t) => {
       const loads = createEndpointLoads();
       const engine = buildEndpoint('a');
       t.is(loads.getSlowdown(engine, 0), 1);
@@ -84,9 +85,8 @@
       t.true(loads.getSlowdown(engine, nowMs + 20_000) < 1.05);
     });
 
-    // One engine of three has turned five times slower while its health and its count of calls look
-    // like the others'.
-    it('tells a slow engine from the others, also by what other instances measured', (t) => {
+    // Guards against an engine that has become slow while its health and load look normal.
+    it('detects a slow engine from the samples of other instances', (t) => {
       const loads = createEndpointLoads();
       const nowMs = runPrompts(loads, 'b', 100, runPrompts(loads, 'a', 100));
       loads.remote.set(
@@ -99,7 +99,7 @@
       t.true(loads.getSlowdown(buildEndpoint('a'), nowMs) <= 1.01);
     });
 
-    it('leaves nothing behind of what is told no more', (t) => {
+    it('keeps nothing of an expired report', (t) => {
       const loads = createEndpointLoads();
       const nowMs = runPrompts(loads, 'a', 100);
       const share = { running: 2, unreadTokens: 7, answers: 0.1, failures: 0.1 };
--- a/src/placement/stream-times.test.ts
+++ b/src/placement/stream-times.test.ts
@@ -1,10 +1,9 @@
 import { describe } from '../test/describe.js';
 import { createStreamTimes } from './stream-times.js';
 
-describe('times of a stream', ({ it }) => {
-  // A caller left an answer that had begun in time. Whether it fell silent once or was slow all along
-  // could not be told from its longest pause alone.
-  it('tells one long pause from a slow pace', (t) => {
+describe('stream times', ({ it }) => {
+  // The longest pause alone does not show whether a stream stalled once or was slow throughout.
+  it('distinguishes one long pause from a slow stream', (t) => {
     const silent = createStreamTimes();
     [100, 120, 140, 640, 660].forEach((ms) =>
       silent.recordEvent(ms, { running: 1, unreadTokens: 0 }),
@@ -18,7 +17,7 @@
     t.like(slow.get().longestPause, { afterEvents: 2, running: 90, unreadTokens: 60_000 });
   });
 
-  it('knows no pause before the second event', (t) => {
+  it('has no pause before the second event', (t) => {
     const stream = createStreamTimes();
     t.is(stream.recordEvent(10, { running: 1, unreadTokens: 0 }), undefined);
     t.deepEqual(stream.get(), { events: 1, meanPauseMs: 0, longestPause: undefined });
