--- a/src/load-sharing/load-exchange.test.ts
+++ b/src/load-sharing/load-exchange.test.ts
@@ -36,7 +36,7 @@
     address: `i-${index}:1`,
     dataCentre: `dc-${index % dataCentres}`,
   }));
-  const silenced = new Set<string>();
+  const disconnected = new Set<string>();
   let nowMs = 0;
   const fleet: Instance[] = members.map((self) => {
     const loads = createEndpointLoads();
@@ -46,19 +46,19 @@
 
   function advanceOne({ self, exchange }: Instance): void {
     const updates = exchange.advance(nowMs);
-    if (silenced.has(self.name)) return;
+    if (disconnected.has(self.name)) return;
     for (const { addresses, ...update } of updates) {
       for (const address of addresses) {
         const to = instanceAt.get(address) as Instance;
         const received = { ...update, instance: self.name, dataCentre: self.dataCentre, part: 0 };
-        if (!silenced.has(to.self.name)) to.exchange.handle(received, nowMs);
+        if (!disconnected.has(to.self.name)) to.exchange.handle(received, nowMs);
       }
     }
   }
 
   return {
     fleet,
-    silenced,
+    disconnected,
     aggregators: chooseAggregators(members),
     runPeriods(periods: number): void {
       for (let count = 0; count < periods; count += 1) {
@@ -82,11 +82,11 @@
       [195, 5],
       [300, 5],
     ] as const) {
-      const world = createFleet(instances, dataCentres);
-      world.runPeriods(8);
-      for (const { loads } of world.fleet) loads.start(ENGINE, 500, world.getNow());
-      world.runPeriods(4);
-      t.deepEqual(new Set(world.listRunning()), new Set([instances]), `${instances} instances`);
+      const cluster = createFleet(instances, dataCentres);
+      cluster.runPeriods(8);
+      for (const { loads } of cluster.fleet) loads.start(ENGINE, 500, cluster.getNow());
+      cluster.runPeriods(4);
+      t.deepEqual(new Set(cluster.listRunning()), new Set([instances]), `${instances} instances`);
     }
   });
 
@@ -99,23 +99,23 @@
         fc.integer({ min: 2, max: 40 }),
         (seed, size) => {
           const random = createRandom(seed);
-          const world = createFleet(size, 3);
+          const cluster = createFleet(size, 3);
           let running = 0;
           const ends: (() => void)[] = [];
           for (let step = 0; step < 40; step += 1) {
-            const { loads } = world.fleet[random.nextIndex(size)] as Instance;
+            const { loads } = cluster.fleet[random.nextIndex(size)] as Instance;
             if (random.next() < 0.6) {
-              const ticket = loads.start(ENGINE, 100, world.getNow(), random.next() < 0.5);
+              const ticket = loads.start(ENGINE, 100, cluster.getNow(), random.next() < 0.5);
               running += 1;
-              ends.push(() => ticket.recordEnd(ENDPOINT_VERDICT.Good, world.getNow()));
+              ends.push(() => ticket.recordEnd(ENDPOINT_VERDICT.Good, cluster.getNow()));
             } else if (ends.length > 0) {
               ends.splice(random.nextIndex(ends.length), 1)[0]?.();
               running -= 1;
             }
-            world.runPeriods(random.nextIndex(3));
+            cluster.runPeriods(random.nextIndex(3));
           }
-          world.runPeriods(15);
-          t.deepEqual(new Set(world.listRunning()), new Set([running]));
+          cluster.runPeriods(15);
+          t.deepEqual(new Set(cluster.listRunning()), new Set([running]));
         },
       ),
       { numRuns: 30 },
@@ -124,26 +124,26 @@
 
   // Guards against outdated loads until membership detects the failure of an aggregator.
   it('replaces a silent aggregator in less than two seconds', (t) => {
-    const world = createFleet(70, 3);
-    world.runPeriods(8);
-    const [dead] = world.aggregators;
-    world.silenced.add(dead as string);
-    for (const { self, loads } of world.fleet) {
-      if (self.name !== dead) loads.start(ENGINE, 500, world.getNow());
+    const cluster = createFleet(70, 3);
+    cluster.runPeriods(8);
+    const [failed] = cluster.aggregators;
+    cluster.disconnected.add(failed as string);
+    for (const { self, loads } of cluster.fleet) {
+      if (self.name !== failed) loads.start(ENGINE, 500, cluster.getNow());
     }
-    world.runPeriods(16);
-    const believed = world.fleet
-      .filter(({ self }) => self.name !== dead)
+    cluster.runPeriods(16);
+    const observed = cluster.fleet
+      .filter(({ self }) => self.name !== failed)
       .map(({ loads }) => loads.get('engine').running);
-    t.deepEqual(new Set(believed), new Set([69]));
+    t.deepEqual(new Set(observed), new Set([69]));
   });
 
   it('bounds the updates sent by one instance in a large fleet', (t) => {
-    const world = createFleet(300, 5);
-    world.runPeriods(8);
-    const counts = world.fleet.map(({ exchange, loads }) => {
-      loads.start(ENGINE, 500, world.getNow());
-      const updates = exchange.advance(world.getNow() + TELL_PERIOD_MS);
+    const cluster = createFleet(300, 5);
+    cluster.runPeriods(8);
+    const counts = cluster.fleet.map(({ exchange, loads }) => {
+      loads.start(ENGINE, 500, cluster.getNow());
+      const updates = exchange.advance(cluster.getNow() + TELL_PERIOD_MS);
       return updates.reduce((sum, { addresses }) => sum + addresses.length, 0);
     });
     t.true(Math.max(...counts) <= 60, `${Math.max(...counts)} datagrams in a period`);
@@ -151,18 +151,18 @@
   });
 
   it('reports which data centres are heard', (t) => {
-    const world = createFleet(70, 3);
-    world.runPeriods(8);
-    const aggregator = world.fleet.find(
-      ({ self }) => self.name === world.aggregators[0],
+    const cluster = createFleet(70, 3);
+    cluster.runPeriods(8);
+    const aggregator = cluster.fleet.find(
+      ({ self }) => self.name === cluster.aggregators[0],
     ) as Instance;
-    for (const { self } of world.fleet) {
-      if (self.dataCentre === 'dc-2') world.silenced.add(self.name);
+    for (const { self } of cluster.fleet) {
+      if (self.dataCentre === 'dc-2') cluster.disconnected.add(self.name);
     }
-    world.runPeriods(8);
-    aggregator.loads.start(ENGINE, 500, world.getNow());
+    cluster.runPeriods(8);
+    aggregator.loads.start(ENGINE, 500, cluster.getNow());
     const table = aggregator.exchange
-      .advance(world.getNow() + TELL_PERIOD_MS)
+      .advance(cluster.getNow() + TELL_PERIOD_MS)
       .find(({ scope }) => scope === LOAD_SCOPE.Others);
     t.deepEqual([...(table?.heardDataCentres ?? [])].sort(), ['dc-0', 'dc-1']);
   });
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -54,7 +54,7 @@
   /** Ids of endpoints already tried for this call. */
   readonly excluded: readonly string[];
   /** Whether a data centre is currently unreachable. */
-  readonly isCut: (dataCentre: string) => boolean;
+  readonly isUnreachable: (dataCentre: string) => boolean;
   /** Whether an endpoint should be used only if there is no other. */
   readonly isAvoided: (endpoint: RegisteredEndpoint) => boolean;
   readonly loads: EndpointLoads;
@@ -80,7 +80,7 @@
   const { endpoints, excluded, loads, nowMs } = input;
   const untried = endpoints.filter(({ id }) => !excluded.includes(id));
   const dataCentres = new Set(untried.map(({ dataCentre }) => dataCentre));
-  const unreachable = [...dataCentres].filter((dataCentre) => input.isCut(dataCentre));
+  const unreachable = [...dataCentres].filter((dataCentre) => input.isUnreachable(dataCentre));
   const reachable = untried.filter(({ dataCentre }) => !unreachable.includes(dataCentre));
   const healthy = reachable.filter(({ startId }) => !loads.isSuspect(startId, nowMs));
   const preferred = healthy.filter((endpoint) => !input.isAvoided(endpoint));
--- a/src/placement/engine-reserve.test.ts
+++ b/src/placement/engine-reserve.test.ts
@@ -70,8 +70,8 @@
   });
 
   it('are more when running calls lengthen pauses considerably', (t) => {
-    const paced = buildInput(82, 140, { pauseMsPerCall: 5 });
-    t.is(createTrainedReserves().choose(POOL, paced, 0).size, Math.ceil(140 / 7.5));
+    const slowed = buildInput(82, 140, { pauseMsPerCall: 5 });
+    t.is(createTrainedReserves().choose(POOL, slowed, 0).size, Math.ceil(140 / 7.5));
   });
 
   // Guards against urgent bursts that starve all other calls.
@@ -81,8 +81,8 @@
   });
 
   it('are none without less urgent routes, or when prompts are of similar size', (t) => {
-    const alone = buildInput(82, 140, { urgentPauseMs: Infinity });
-    t.is(createTrainedReserves().choose(POOL, alone, 0).size, 0);
+    const singleRank = buildInput(82, 140, { urgentPauseMs: Infinity });
+    t.is(createTrainedReserves().choose(POOL, singleRank, 0).size, 0);
     const alike = createEngineReserves();
     alike.recordPrompt(POOL, true, 5000);
     alike.recordPrompt(POOL, false, 6000);
--- a/src/placement/hold-back.test.ts
+++ b/src/placement/hold-back.test.ts
@@ -29,11 +29,11 @@
 
     // Guards against holding calls back for urgent streams that run at reserved engines only.
     it('allows longer pauses at engines that the most urgent streams do not use', (t) => {
-      const paced: AdmissionInput = { ...CALL, running: 10, pauseMs: 70, urgentPauseMs: 150 };
-      t.is(chooseAdmission(paced), ADMISSION.Wait);
-      const apart: AdmissionInput = { ...paced, isIsolated: true, urgentPauseMs: 400 };
-      t.is(chooseAdmission(apart), ADMISSION.Send);
-      t.is(chooseAdmission({ ...apart, pauseMs: 90 }), ADMISSION.Wait);
+      const slowed: AdmissionInput = { ...CALL, running: 10, pauseMs: 70, urgentPauseMs: 150 };
+      t.is(chooseAdmission(slowed), ADMISSION.Wait);
+      const isolated: AdmissionInput = { ...slowed, isIsolated: true, urgentPauseMs: 400 };
+      t.is(chooseAdmission(isolated), ADMISSION.Send);
+      t.is(chooseAdmission({ ...isolated, pauseMs: 90 }), ADMISSION.Wait);
     });
 
     // Guards against calls that wait past their deadline, and against filling the queues with them.
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -119,7 +119,7 @@
       const prompt = isCrashSuspect ? undefined : call.prompt;
       const placement = chooseEndpoint({
         endpoints: options.listOpen(pool),
-        isCut: options.isCut,
+        isUnreachable: options.isCut,
         isAvoided: options.isAvoided,
         prompt,
         excluded: tried,
