--- a/src/placement/endpoint-loads.ts
+++ b/src/placement/endpoint-loads.ts
@@ -73,7 +73,7 @@
   /** The same for all reachable instances, including this one. */
   listFleet(nowMs: number): EndpointShareOfLoad[];
   /** Loads reported by other instances. */
-  readonly remote: Omit<RemoteLoads, 'get' | 'list' | 'listOf'>;
+  readonly remote: Omit<RemoteLoads, 'get' | 'list' | 'listFrom'>;
   /** Recent failure rate of the endpoint, 0 to 1. */
   getFailureRate(id: string, nowMs: number): number;
   /** Time the endpoint takes to read prompts, relative to its pool; 1 while unknown. */
