--- a/src/load-sharing/load-exchange.test.ts
+++ b/src/load-sharing/load-exchange.test.ts
@@ -27,9 +27,7 @@
   readonly exchange: LoadExchange;
 }
 
-/**
- * Creates a fleet whose updates arrive within the period, except from and to silenced instances.
- */
+/** Creates a fleet whose updates arrive within a period, unless an instance is disconnected. */
 function createFleet(instances: number, dataCentres: number) {
   const members: LoadMember[] = Array.from({ length: instances }, (_, index) => ({
     name: `i-${index}`,
