--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -1,137 +1,141 @@
 /**
- * Who tells whom of the load at endpoints, free of I/O. Each instance reports what it has under way to
- * a head of its data centre, heads tell each other the sums of their groups, and each head tells those
- * that report to it what all others have. Whoever is reported to is a head, whatever it thinks of the
- * fleet itself, so that nothing has to be agreed on: a wrong choice costs one more telling.
+ * Decides which load updates an instance sends to whom. Performs no I/O.
+ *
+ * Each instance reports its load to an aggregator of its data centre. Aggregators send each other
+ * the sums of their groups and send each reporter the load of all other instances. An instance that
+ * receives reports acts as an aggregator even if it did not expect to be one, so that instances
+ * need not agree on the membership.
  */
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
-import { createToldLoads, mergeShares } from '../placement/told-loads.js';
+import { createRemoteLoads, mergeShares } from '../placement/told-loads.js';
 import type { EndpointShareOfLoad } from '../placement/told-loads.js';
 import { assertNever } from '../utils/assert-never.js';
-import { chooseHeads, listHeadsFor } from './choose-heads.js';
+import { chooseAggregators, listAggregatorsFor } from './choose-heads.js';
 import type { LoadMember } from './choose-heads.js';
 import { LOAD_SCOPE } from './load-telling.js';
 import type { AddressedTelling, ReceivedTelling } from './load-telling.js';
 
-/** What changed is told this often, in milliseconds: prompts queue for a few hundred. */
+/** Period of load updates, in milliseconds. */
 export const TELL_PERIOD_MS = 100;
-/** What did not change is told again after this many periods: it is the heartbeat by which others see that they reach this instance. */
-const REPEAT_PERIODS = 3;
-/** What was told counts this long, in milliseconds: three repeats lost, or a busy machine's late timers. */
-const TOLD_AGE_MAX_MS = 1000;
-/** A head that answers no report for this long, in milliseconds, is passed over: it answers ten times a second. */
-const HEAD_SILENT_MS = 500;
-/** And for this long, in milliseconds, by when membership knows whether it is dead. */
-const HEAD_PASSED_MS = 3000;
-/** A data centre counts as heard for this long, in milliseconds: a repeat and a lost datagram. */
-const HEARD_MS = 400;
-/** The fleet is looked at anew after this many periods: heads change when somebody dies, which takes seconds to be known. */
-const FLEET_PERIODS = 5;
+/** Periods after which an unchanged update is repeated, as a heartbeat. */
+const HEARTBEAT_PERIODS = 3;
+/** Age at which reported loads are removed, in milliseconds: three lost heartbeats. */
+const REMOTE_LOAD_AGE_MAX_MS = 1000;
+/** Time without an update after which an aggregator is skipped, in milliseconds. */
+const AGGREGATOR_TIMEOUT_MS = 500;
+/** Time for which it is skipped, in milliseconds, by when membership has detected a failure. */
+const AGGREGATOR_BACKOFF_MS = 3000;
+/** Time for which a data centre counts as heard after its last update, in milliseconds. */
+const DATA_CENTRE_TIMEOUT_MS = 400;
+/** Periods between refreshes of the list of instances. */
+const FLEET_REFRESH_PERIODS = 5;
 
-/** What an exchange is built on. */
 export interface LoadExchangeOptions {
   readonly self: LoadMember;
   readonly loads: EndpointLoads;
-  /** Everybody that is alive, this instance included. */
+  /** All live instances, including this one. */
   readonly listFleet: () => readonly LoadMember[];
 }
 
-interface Report {
+interface Reporter {
   readonly heardMs: number;
   readonly sources: ReadonlySet<string>;
 }
 
-/** The exchange of one instance. */
 export interface LoadExchange {
-  /** A period has passed; what is to be told. */
+  /** Advances by one period and returns the updates to send. */
   advance(nowMs: number): AddressedTelling[];
-  handle(telling: ReceivedTelling, nowMs: number): void;
+  handle(update: ReceivedTelling, nowMs: number): void;
 }
 
-/** The shares that decide where calls go; what was learned of endpoints may wait for a repeat. */
+/** Formats the values whose changes are sent at once; other values wait for a heartbeat. */
 function formatShares(shares: readonly EndpointShareOfLoad[]): string {
   return shares
     .map(({ endpoint, running, unreadTokens }) => `${endpoint}:${running}:${unreadTokens}`)
     .join(' ');
 }
 
-/** Builds the exchange of an instance that has heard nobody. */
 export function createLoadExchange({ self, loads, listFleet }: LoadExchangeOptions): LoadExchange {
-  const { told } = loads;
-  /** What the instances of the own group have, beside what `loads` holds of everybody. */
-  const group = createToldLoads();
-  /** Who reports here: when each was last heard, and the names its parts are kept under. */
-  const reports = new Map<string, Report>();
-  /** When each head and each data centre was last heard. */
-  const headsHeardMs = new Map<string, number>();
+  const { remote } = loads;
+  /** Loads of the instances that report to this one, which are also part of `remote`. */
+  const groupLoads = createRemoteLoads();
+  /** Instances that report to this one, and the sources under which their loads are stored. */
+  const reporters = new Map<string, Reporter>();
+  /** When each aggregator and each data centre was last heard, in milliseconds. */
+  const aggregatorsHeardMs = new Map<string, number>();
   const dataCentresHeardMs = new Map<string, number>();
-  /** Heads that do not answer, and until when they are passed over. */
-  const passedUntilMs = new Map<string, number>();
+  /** Aggregators that do not answer, and until when they are skipped, in milliseconds. */
+  const skippedUntilMs = new Map<string, number>();
   let addresses = new Map<string, string>();
-  let heads: string[] = [];
-  let ownHeads: string[] = [];
+  let aggregators: string[] = [];
+  let localAggregators: string[] = [];
   let periods = 0;
-  let isHead = true;
-  let head: { readonly name: string; readonly sinceMs: number } | undefined;
-  let headHeardMs = -Infinity;
-  /** The head whose table is in hand. */
-  let toldBy: string | undefined;
-  let lastTold = '';
-  let periodsSinceTold = 0;
+  let isAggregator = true;
+  let aggregator: { readonly name: string; readonly sinceMs: number } | undefined;
+  let aggregatorHeardMs = -Infinity;
+  /** The aggregator that sent the loads in `remote`. */
+  let tableFrom: string | undefined;
+  let lastSent = '';
+  let periodsSinceSent = 0;
 
   function updateFleet(): void {
     const fleet = listFleet();
     addresses = new Map(fleet.map(({ name, address }) => [name, address]));
-    heads = chooseHeads(fleet);
-    const near = new Set(
+    aggregators = chooseAggregators(fleet);
+    const localNames = new Set(
       fleet.filter(({ dataCentre }) => dataCentre === self.dataCentre).map(({ name }) => name),
     );
-    ownHeads = listHeadsFor(
+    localAggregators = listAggregatorsFor(
       self.name,
-      heads.filter((name) => near.has(name)),
+      aggregators.filter((name) => localNames.has(name)),
     );
   }
 
-  function removeSilent(nowMs: number): void {
-    for (const [name, { heardMs }] of reports) {
-      if (nowMs - heardMs > TOLD_AGE_MAX_MS) reports.delete(name);
+  function removeExpired(nowMs: number): void {
+    for (const [name, { heardMs }] of reporters) {
+      if (nowMs - heardMs > REMOTE_LOAD_AGE_MAX_MS) reporters.delete(name);
     }
-    for (const [name, heardMs] of headsHeardMs) {
-      if (nowMs - heardMs > TOLD_AGE_MAX_MS) headsHeardMs.delete(name);
+    for (const [name, heardMs] of aggregatorsHeardMs) {
+      if (nowMs - heardMs > REMOTE_LOAD_AGE_MAX_MS) aggregatorsHeardMs.delete(name);
     }
   }
 
-  /** What was told under the other role would be counted twice under the new one. */
+  /**
+   * Loads received in the previous role are removed, as they would be counted twice in the new one.
+   */
   function updateRole(): void {
-    const wasHead = isHead;
-    isHead = heads.includes(self.name) || ownHeads.length === 0 || reports.size > 0;
-    if (isHead === wasHead) return;
-    told.clear();
-    group.clear();
-    head = undefined;
-    toldBy = undefined;
+    const wasAggregator = isAggregator;
+    isAggregator =
+      aggregators.includes(self.name) || localAggregators.length === 0 || reporters.size > 0;
+    if (isAggregator === wasAggregator) return;
+    remote.clear();
+    groupLoads.clear();
+    aggregator = undefined;
+    tableFrom = undefined;
   }
 
   /**
-   * Guards against a head that is dead, cut off or frozen, seconds before membership knows: it shows as
-   * an instance that sends its calls by what it alone has under way. The next head takes its reports.
+   * Guards against an aggregator that is down, unreachable or frozen before membership detects it,
+   * which would leave this instance with its own load only. The next aggregator takes over.
    */
-  function updateHead(nowMs: number): void {
-    const silentMs = nowMs - Math.max(head?.sinceMs ?? nowMs, headHeardMs);
-    if (head !== undefined && silentMs > HEAD_SILENT_MS) {
-      passedUntilMs.set(head.name, nowMs + HEAD_PASSED_MS);
+  function updateAggregator(nowMs: number): void {
+    const silentMs = nowMs - Math.max(aggregator?.sinceMs ?? nowMs, aggregatorHeardMs);
+    if (aggregator !== undefined && silentMs > AGGREGATOR_TIMEOUT_MS) {
+      skippedUntilMs.set(aggregator.name, nowMs + AGGREGATOR_BACKOFF_MS);
     }
-    const answering = ownHeads.filter((name) => nowMs >= (passedUntilMs.get(name) ?? 0));
-    const name = answering[0] ?? ownHeads[0];
-    if (name === undefined || name === head?.name) return;
-    head = { name, sinceMs: nowMs };
+    const answering = localAggregators.filter((name) => nowMs >= (skippedUntilMs.get(name) ?? 0));
+    const name = answering[0] ?? localAggregators[0];
+    if (name === undefined || name === aggregator?.name) return;
+    aggregator = { name, sinceMs: nowMs };
   }
 
-  function listHeard(nowMs: number): string[] {
-    return [...dataCentresHeardMs].filter(([, ms]) => nowMs - ms <= HEARD_MS).map(([name]) => name);
+  function listHeardDataCentres(nowMs: number): string[] {
+    return [...dataCentresHeardMs]
+      .filter(([, ms]) => nowMs - ms <= DATA_CENTRE_TIMEOUT_MS)
+      .map(([name]) => name);
   }
 
-  function buildTelling(
+  function buildUpdate(
     scope: AddressedTelling['scope'],
     to: readonly string[],
     shares: readonly EndpointShareOfLoad[],
@@ -141,17 +145,17 @@
       scope,
       shares,
       addresses: to.map((name) => addresses.get(name)).filter((address) => address !== undefined),
-      heardDataCentres: scope === LOAD_SCOPE.Others ? listHeard(nowMs) : [],
+      heardDataCentres: scope === LOAD_SCOPE.Others ? listHeardDataCentres(nowMs) : [],
     };
   }
 
-  /** What the others have, from the point of view of one of the group. */
-  function buildOthers(
+  /** Subtracts a member's own load from the load of the fleet. */
+  function buildOthersShares(
     member: string,
     fleet: readonly EndpointShareOfLoad[],
   ): EndpointShareOfLoad[] {
-    const sources = [...(reports.get(member)?.sources ?? [])];
-    const reported = sources.flatMap((source) => group.listOf(source));
+    const sources = [...(reporters.get(member)?.sources ?? [])];
+    const reported = sources.flatMap((source) => groupLoads.listFrom(source));
     const own = new Map(reported.map((share) => [share.endpoint, share]));
     return fleet.flatMap((share) => {
       const part = own.get(share.endpoint);
@@ -170,91 +174,93 @@
     });
   }
 
-  function buildHeadTellings(nowMs: number): AddressedTelling[] {
-    const others = new Set([...heads, ...headsHeardMs.keys()]);
+  function buildAggregatorUpdates(nowMs: number): AddressedTelling[] {
+    const others = new Set([...aggregators, ...aggregatorsHeardMs.keys()]);
     others.delete(self.name);
-    const groupShares = mergeShares([loads.listOwn(nowMs), group.list()]);
-    const tellings = [buildTelling(LOAD_SCOPE.Group, [...others], groupShares, nowMs)];
-    const fleet = reports.size > 0 ? loads.listFleet(nowMs) : [];
-    for (const member of reports.keys()) {
-      tellings.push(buildTelling(LOAD_SCOPE.Others, [member], buildOthers(member, fleet), nowMs));
+    const groupShares = mergeShares([loads.listOwn(nowMs), groupLoads.list()]);
+    const updates = [buildUpdate(LOAD_SCOPE.Group, [...others], groupShares, nowMs)];
+    const fleet = reporters.size > 0 ? loads.listFleet(nowMs) : [];
+    for (const member of reporters.keys()) {
+      updates.push(
+        buildUpdate(LOAD_SCOPE.Others, [member], buildOthersShares(member, fleet), nowMs),
+      );
     }
-    return tellings;
+    return updates;
   }
 
-  /** Whether it is time to tell: at once what changed, now and then what did not. */
+  /** Changed updates are due at once, unchanged ones as heartbeats. */
   function isDue(text: string): boolean {
-    periodsSinceTold += 1;
-    if (text === lastTold && periodsSinceTold < REPEAT_PERIODS) return false;
-    lastTold = text;
-    periodsSinceTold = 0;
+    periodsSinceSent += 1;
+    if (text === lastSent && periodsSinceSent < HEARTBEAT_PERIODS) return false;
+    lastSent = text;
+    periodsSinceSent = 0;
     return true;
   }
 
-  function buildTellings(nowMs: number): AddressedTelling[] {
-    if (isHead) {
-      const text = formatShares(reports.size > 0 ? loads.listFleet(nowMs) : loads.listOwn(nowMs));
-      return isDue(text) ? buildHeadTellings(nowMs) : [];
+  function buildUpdates(nowMs: number): AddressedTelling[] {
+    if (isAggregator) {
+      const text = formatShares(reporters.size > 0 ? loads.listFleet(nowMs) : loads.listOwn(nowMs));
+      return isDue(text) ? buildAggregatorUpdates(nowMs) : [];
     }
     const own = loads.listOwn(nowMs);
-    if (head === undefined || !isDue(formatShares(own))) return [];
-    return [buildTelling(LOAD_SCOPE.Own, [head.name], own, nowMs)];
+    if (aggregator === undefined || !isDue(formatShares(own))) return [];
+    return [buildUpdate(LOAD_SCOPE.Own, [aggregator.name], own, nowMs)];
   }
 
   function handleReport({ instance, part, shares }: ReceivedTelling, nowMs: number): void {
     const source = `${instance}/${part}`;
-    const sources = new Set([...(reports.get(instance)?.sources ?? []), source]);
-    reports.set(instance, { heardMs: nowMs, sources });
+    const sources = new Set([...(reporters.get(instance)?.sources ?? []), source]);
+    reporters.set(instance, { heardMs: nowMs, sources });
     updateRole();
-    told.set(source, shares, true, nowMs);
-    group.set(source, shares, true, nowMs);
+    remote.set(source, shares, true, nowMs);
+    groupLoads.set(source, shares, true, nowMs);
   }
 
-  function handleGroup(
+  function handleGroupLoad(
     { instance, dataCentre, part, shares }: ReceivedTelling,
     nowMs: number,
   ): void {
-    headsHeardMs.set(instance, nowMs);
-    if (!isHead) return;
-    told.set(`${instance}/${part}`, shares, dataCentre === self.dataCentre, nowMs);
+    aggregatorsHeardMs.set(instance, nowMs);
+    if (!isAggregator) return;
+    remote.set(`${instance}/${part}`, shares, dataCentre === self.dataCentre, nowMs);
   }
 
-  function handleOthers(telling: ReceivedTelling, nowMs: number): void {
-    const { instance, part, shares, heardDataCentres } = telling;
-    if (isHead || instance !== head?.name) return;
-    headHeardMs = nowMs;
-    // What the head before said holds until this one speaks.
-    if (toldBy !== instance) told.clear();
-    toldBy = instance;
+  function handleFleetLoad(update: ReceivedTelling, nowMs: number): void {
+    const { instance, part, shares, heardDataCentres } = update;
+    if (isAggregator || instance !== aggregator?.name) return;
+    aggregatorHeardMs = nowMs;
+    // Loads from the previous aggregator are used until the new one sends its own.
+    if (tableFrom !== instance) remote.clear();
+    tableFrom = instance;
     for (const heard of heardDataCentres) dataCentresHeardMs.set(heard, nowMs);
-    told.set(`${instance}/${part}`, shares, true, nowMs);
+    remote.set(`${instance}/${part}`, shares, true, nowMs);
   }
 
   return {
     advance(nowMs) {
-      if (periods % FLEET_PERIODS === 0) updateFleet();
+      if (periods % FLEET_REFRESH_PERIODS === 0) updateFleet();
       periods += 1;
-      told.advance(nowMs, TOLD_AGE_MAX_MS);
-      group.advance(nowMs, TOLD_AGE_MAX_MS);
-      removeSilent(nowMs);
+      remote.removeExpired(nowMs, REMOTE_LOAD_AGE_MAX_MS);
+      groupLoads.removeExpired(nowMs, REMOTE_LOAD_AGE_MAX_MS);
+      removeExpired(nowMs);
       updateRole();
-      if (!isHead) updateHead(nowMs);
-      return buildTellings(nowMs);
+      if (!isAggregator) updateAggregator(nowMs);
+      return buildUpdates(nowMs);
     },
-    handle(telling, nowMs) {
-      dataCentresHeardMs.set(telling.dataCentre, nowMs);
-      switch (telling.scope) {
+    handle(update, nowMs) {
+      dataCentresHeardMs.set(update.dataCentre, nowMs);
+      switch (update.scope) {
         case LOAD_SCOPE.Own:
-          handleReport(telling, nowMs);
+          handleReport(update, nowMs);
           break;
         case LOAD_SCOPE.Group:
-          handleGroup(telling, nowMs);
+          handleGroupLoad(update, nowMs);
           break;
         case LOAD_SCOPE.Others:
-          handleOthers(telling, nowMs);
+          handleFleetLoad(update, nowMs);
           break;
         default:
-          assertNever(telling.scope);
+          assertNever(update.scope);
       }
     },
   };
