--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -1,34 +1,31 @@
-/** What the binaries share: flags, environment, unknown flags, exit codes. */
+/** Command-line parsing and exit codes for all binaries. */
 import leven from 'leven';
 import yargs from 'yargs';
 import type { Argv, Options } from 'yargs';
 
-/** Exit codes of every binary. */
 export const EXIT_CODE = {
   Ok: 0,
-  /** Something asked for failed, or a check did not hold. */
+  /** The command or a check failed. */
   Failed: 1,
-  /** The command line or a setting is wrong. */
+  /** The command line or a setting is invalid. */
   Usage: 2,
-  /** The other side changed the same thing. */
+  /** Another operator made a conflicting change. */
   Conflict: 3,
-  /** The platform or a router did not answer. */
+  /** The platform or a router could not be reached. */
   Unavailable: 4,
 } as const;
 export type ExitCode = (typeof EXIT_CODE)[keyof typeof EXIT_CODE];
 
-/** Edits between an unknown flag and the one suggested, at the most. */
+/** Maximum edit distance between an unknown flag and a suggested one. */
 const SUGGESTION_DISTANCE = 4;
 
-/** Flags of one command. */
 export type FlagSet = Readonly<Record<string, Options>>;
 
-/** A binary's frame. */
 export interface CommandLineOptions {
   readonly name: string;
   /** Prefix of its environment variables. */
   readonly envPrefix: string;
-  /** Every flag of every command, to suggest the nearest for one that is unknown. */
+  /** The flags of all commands, for suggestions. */
   readonly flags: readonly string[];
   readonly examples: readonly (readonly [string, string])[];
 }
@@ -49,7 +46,7 @@
   return `Unknown flag or command: ${unknown}; ${hint}`;
 }
 
-/** Builds a parser in which every flag is also an environment variable. */
+/** Creates a parser in which every flag can also be set by an environment variable. */
 export function createCommandLine(args: readonly string[], options: CommandLineOptions): Argv {
   const parser = yargs([...args])
     .scriptName(options.name)
@@ -71,7 +68,7 @@
   return parser;
 }
 
-/** Runs a binary's main function; what it throws ends the process with a message. */
+/** Runs a binary's main function; if it throws, prints the error and exits. */
 export function runMain(name: string, main: () => Promise<ExitCode | undefined>): void {
   main()
     .then((code) => {
@@ -85,7 +82,6 @@
     });
 }
 
-/** Arguments after the program's own name. */
 export function listArguments(): string[] {
   return process.argv.slice(2);
 }
--- a/src/cli/ctl-main.ts
+++ b/src/cli/ctl-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' tool: checks, publishes and shows declarations, and the state of the fleet. */
+/** Command-line tool for operators: manages declarations and shows the state of routers. */
 import { randomBytes, randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
@@ -222,7 +222,7 @@
       ['$0 status --router http://127.0.0.1:9090', 'state of the fleet as one router sees it'],
     ],
   })
-    // All flags are known everywhere, so that an environment set for one command suits the others.
+    // Strict parsing also covers environment variables, so every command accepts the flags of all.
     .options({ ...JSON_FLAG, ...PLATFORM_FLAGS, ...STATUS_FLAGS, ...HISTORY_FLAGS })
     .options({ ...AUTHOR_FLAGS, ...APPLY_FLAGS })
     .command(
--- a/src/cli/demo-main.ts
+++ b/src/cli/demo-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The whole path in one process on loopback, to look at or to check once. */
+/** Runs routers, engines and a service in one process on loopback, interactively or as a check. */
 import { randomUUID } from 'node:crypto';
 import { request } from 'undici';
 import { SERVICE_POOL, startEmbeddedFleet, waitUntil } from '../embedded/embedded-fleet.js';
@@ -45,7 +45,7 @@
   },
 ];
 
-/** One thing the demo shows, and whether it held. */
+/** Records the result of one check. */
 type Check = (what: string, holds: boolean) => void;
 
 function print(line: string): void {
@@ -65,7 +65,7 @@
 async function checkClasses(fleet: EmbeddedFleet, client: CompletionClient, check: Check) {
   for (const [index, { name }] of DEMO_CLASSES.entries()) {
     const prompt = `a question for class ${name} [length:${10 + index * 5}]`;
-    // One class after the other, so that the printed answers do not mix.
+    // Sequential, so that the printed responses do not interleave.
     // eslint-disable-next-line no-await-in-loop
     const result = await client.send({
       url: getUrl(fleet, index),
@@ -97,7 +97,7 @@
     });
   const first = await send(0);
   const firstText = await first.body.text();
-  // The claim is settled just after the answer; the second try is sent once it is.
+  // The claim is completed shortly after the response; until then the second request gets a 409.
   let second = await send(1);
   for (let tries = 0; second.statusCode === 409 && tries < 20; tries += 1) {
     // eslint-disable-next-line no-await-in-loop
--- a/src/cli/format-output.ts
+++ b/src/cli/format-output.ts
@@ -1,4 +1,4 @@
-/** Text for people, from what the tools know. */
+/** Formats results of the command-line tools as text. */
 import type { FileChange, FolderFiles } from '../configuration/manifest.js';
 import type { AuditRecord } from '../configuration/store.js';
 import type { DutyStatus } from '../duties/fleet-duties.js';
@@ -7,7 +7,7 @@
 
 const HASH_SHOWN = 8;
 
-/** Rows as columns that line up. */
+/** Formats rows as aligned columns. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
   for (const row of rows) {
@@ -33,7 +33,6 @@
   return [...removed.map((line) => `  - ${line}`), ...added.map((line) => `  + ${line}`)];
 }
 
-/** What the quarantine holds. */
 export function formatCases(cases: readonly ListedCase[]): string {
   if (cases.length === 0) return 'nothing is held';
   const rows = cases.map(({ content, standing, crashes, lastCrashAgoMs }) => [
@@ -45,7 +44,7 @@
   return formatTable([['content', 'standing', 'ended under it', 'last'], ...rows]);
 }
 
-/** What would change, file by file, line by line. */
+/** Formats the lines that differ, by file. */
 export function formatChanges(
   version: number,
   changes: readonly FileChange[],
@@ -61,7 +60,6 @@
   return [`against version ${version}:`, ...lines].join('\n');
 }
 
-/** The audit trail. */
 export function formatHistory(records: readonly AuditRecord[]): string {
   const rows = records.flatMap((record) =>
     record.changes.map((change) => [
@@ -76,7 +74,6 @@
   return formatTable([['version', 'when', 'who', 'file', 'content', 'reason'], ...rows]);
 }
 
-/** The fleet as one router sees it. */
 export function formatStatus(status: RouterStatus): string {
   const members = status.members.map((member) => [
     member.name,
@@ -107,7 +104,7 @@
   ].join('\n');
 }
 
-/** Who does the fleet's work, and what was ordered last. */
+/** Formats the holder of the fleet duties and, if it is this router, the requested scale of each pool. */
 export function formatDuties(duties: DutyStatus | null): string {
   if (duties === null) return 'the platform asks for no duties; nothing to do';
   const { holder, fence, isOwn, ageMs, unsentWindows, desired } = duties;
--- a/src/cli/load-main.ts
+++ b/src/cli/load-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** An open-loop load against running routers; what callers saw, as a table or JSON. */
+/** Open-loop load generator: reports latencies and outcomes as a table or JSON. */
 import { createCompletionClient } from '../load/completion-client.js';
 import { buildLoadPlan, parseMix } from '../load/load-plan.js';
 import { buildLoadReport } from '../load/load-report.js';
@@ -9,7 +9,7 @@
 import { formatTable } from './format-output.js';
 
 const NAME = 'hyssoptally-load';
-/** Loads go to this machine only: a stray URL must never become a target. */
+/** Only loopback URLs are accepted, to keep load off systems of others. */
 const LOOPBACK = /^http:\/\/(127\.\d+\.\d+\.\d+|localhost|\[::1\])(:\d+)?$/;
 
 const LOAD_FLAGS = {
--- a/src/cli/platform-flags.ts
+++ b/src/cli/platform-flags.ts
@@ -1,4 +1,4 @@
-/** Flags that say where the platform is and how to talk to it. */
+/** Flags for access to the platform. */
 import { createConfigurationStore } from '../configuration/store.js';
 import type { ConfigurationStore } from '../configuration/store.js';
 import { createObjectClient } from '../storage/object-client.js';
@@ -24,7 +24,7 @@
   },
 } as const;
 
-/** Names of the flags that a command with platform access demands. */
+/** The flags that commands with access to the platform require. */
 export const PLATFORM_FLAG_NAMES = [
   'platform-table',
   'platform-objects',
@@ -32,7 +32,6 @@
   'platform-secret-access-key',
 ] as const;
 
-/** Values of the platform flags. */
 export interface PlatformArguments {
   readonly platformTable: string;
   readonly platformObjects: string;
@@ -40,13 +39,11 @@
   readonly platformSecretAccessKey: string;
 }
 
-/** A store for tools, with connections to close. */
 export interface OpenStore {
   readonly store: ConfigurationStore;
   close(): Promise<void>;
 }
 
-/** Opens the platform's configuration store. */
 export function createOpenStore(args: PlatformArguments): OpenStore {
   const credentials = {
     accessKeyId: args.platformAccessKeyId,
--- a/src/cli/query-router.ts
+++ b/src/cli/query-router.ts
@@ -1,4 +1,4 @@
-/** Asks a router's operators' port, and says on standard error what went wrong. */
+/** Sends requests to the operator port of a router. */
 import { request } from 'undici';
 import { EXIT_CODE } from './command-line.js';
 import type { ExitCode } from './command-line.js';
@@ -6,23 +6,21 @@
 const ANSWER_TIMEOUT_MS = 5000;
 const STATUS_OK = 200;
 
-/** A question to a router. */
 export interface RouterQuestion {
-  /** Name of the program that asks, for its messages. */
+  /** Name of the program, for error messages. */
   readonly name: string;
   readonly url: string;
   readonly path: string;
   readonly secret: string;
-  /** Sent as JSON with POST; absent for GET. */
+  /** JSON body of a POST request; absent for GET. */
   readonly body?: object;
 }
 
-/** What came of it. */
 export type RouterAnswer =
   | { readonly kind: 'answered'; readonly body: unknown }
   | { readonly kind: 'failed'; readonly exitCode: ExitCode };
 
-/** Asks once. */
+/** Sends one request; prints errors to standard error. */
 export async function queryRouter(question: RouterQuestion): Promise<RouterAnswer> {
   const { name, url, path, secret, body } = question;
   try {
--- a/src/cli/router-commands.ts
+++ b/src/cli/router-commands.ts
@@ -1,4 +1,4 @@
-/** What the operators' tool asks of a router: its state, the quarantine, the fleet's duties. */
+/** Commands of `hyssoptally-ctl` that call a router. */
 import type { DutyStatus } from '../duties/fleet-duties.js';
 import type { ListedCase } from '../quarantine/quarantine-api.js';
 import type { RouterStatus } from '../types/router-status.js';
@@ -6,40 +6,36 @@
 import { formatCases, formatDuties, formatStatus } from './format-output.js';
 import { queryRouter } from './query-router.js';
 
-/** A router's operators' port. */
+/** URL and secret of a router's operator port. */
 export interface RouterAddress {
   readonly url: string;
   readonly secret: string;
 }
 
-/** Where answers go. */
 export interface RouterCommandsOptions {
-  /** Name of the program, for its messages. */
+  /** Name of the program, for error messages. */
   readonly name: string;
   readonly print: (isJson: boolean, value: unknown, text: string) => void;
   readonly onFailed: (exitCode: ExitCode) => void;
 }
 
-/** The commands. */
 export interface RouterCommands {
   runStatus(router: RouterAddress, isJson: boolean): Promise<void>;
   runQuarantine(router: RouterAddress, isJson: boolean): Promise<void>;
-  /** Lets a content run again. */
+  /** Releases a request content from quarantine. */
   runRelease(
     router: RouterAddress,
     release: { readonly content: string; readonly who: string; readonly reason: string },
     isJson: boolean,
   ): Promise<void>;
   runDuties(router: RouterAddress, isJson: boolean): Promise<void>;
-  /** The router leaves the duties to others for a while. */
+  /** Makes the router release the fleet duties to another one. */
   runStepDown(router: RouterAddress, isJson: boolean): Promise<void>;
 }
 
-/** Builds the commands. */
 export function createRouterCommands(options: RouterCommandsOptions): RouterCommands {
   const { name, print, onFailed } = options;
 
-  /** Asks a router and prints what it says. */
   async function runQuestion<T>(
     question: RouterAddress & { readonly path: string; readonly body?: object },
     isJson: boolean,
--- a/src/cli/router-main.ts
+++ b/src/cli/router-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The router's binary: one process on each entry instance. */
+/** Binary of the router; one process runs on each instance. */
 import { startRouter } from '../node/router.js';
 import { ROUTER_DEFAULTS } from '../node/settings.js';
 import { LOG_LEVELS } from '../runtime/logger.js';
--- a/src/cli/standin-main.ts
+++ b/src/cli/standin-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Stand-ins as processes: the platform, an engine or a plain service. For tests and trials only. */
+/** Runs a simulated platform, engine or service for tests. */
 import { startEngineStandin } from '../standin/engine.js';
 import type { RunningServer } from '../standin/http-server.js';
 import { startPlatformStandin, STANDIN_CREDENTIALS } from '../standin/platform.js';
--- a/src/configuration/compile-files.ts
+++ b/src/configuration/compile-files.ts
@@ -1,4 +1,4 @@
-/** Turns file texts into declarations; files that did not change are not parsed again. */
+/** Compiles declaration files; unchanged files are served from a parse cache. */
 import { Err } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
 import type { Declarations } from '../types/declarations.js';
@@ -13,12 +13,10 @@
   readonly parsed: ParsedFile;
 }
 
-/** Compiles folders into declarations. */
 export interface Compiler {
   build(files: FolderFiles, version: number): Result<Declarations, readonly DeclarationError[]>;
 }
 
-/** Builds a compiler with an empty cache. */
 export function createCompiler(): Compiler {
   let cache = new Map<string, CachedFile>();
   return {
--- a/src/configuration/configuration.test.ts
+++ b/src/configuration/configuration.test.ts
@@ -24,7 +24,7 @@
   return `organisations:\n  ${name}: { keys: ['${key}'], classes: [counter], defaultClass: counter, pools: [models], weight: ${weight} }\n`;
 }
 
-/** A store in memory; `beforePublish` lets a test put another operator in between. */
+/** In-memory store; `beforePublish` decides whether a write succeeds or where it is lost. */
 function createFakeStore(
   beforePublish: (tries: number) => 'fine' | 'lost' | 'unsent' = () => 'fine',
 ) {
@@ -86,8 +86,7 @@
   const first = { '00.yaml': BASE, 'a.yaml': buildTeam('a', 1), 'b.yaml': buildTeam('b', 1) };
 
   it('recognises its own write after a lost answer', async (t) => {
-    // An operator is told that a change failed, applies it again, and the trail shows it twice. The
-    // first write had taken effect; only its answer was lost.
+    // Guards against a change that is recorded twice because the response to the first write was lost.
     const { store, audit } = createFakeStore((tries) => (tries === 1 ? 'lost' : 'fine'));
     const published = await publishFiles(store, buildRequest(first));
     t.true(published.ok);
@@ -95,8 +94,8 @@
   });
 
   it('recognises its own write under another operator’s later one', async (t) => {
-    // An operator is told that somebody else changed the file first, although the change is in force.
-    // The answer was lost, and before it was read back another operator changed the same file.
+    // Guards against reporting a conflict for a change that took effect: its response was lost, and
+    // another operator changed the same file before it was read back.
     const { store, audit } = createFakeStore((tries) => (tries === 2 ? 'lost' : 'fine'));
     await publishFiles(store, buildRequest(first));
     const raced: ConfigurationStore = {
@@ -126,8 +125,7 @@
   });
 
   it('merges with an operator who changed another file meanwhile', async (t) => {
-    // Two teams publish at the same moment; the later compare-and-set fails although they touched
-    // different files.
+    // Guards against a conflict between concurrent publications that change different files.
     const { store, audit } = createFakeStore();
     await publishFiles(store, buildRequest(first));
     const changedA = { ...first, 'a.yaml': buildTeam('a', 2) };
@@ -183,8 +181,8 @@
 
 describe('the configuration in force', ({ it }) => {
   it('never goes back, whatever is announced and fetched in whatever order', (t) => {
-    // An organisation that was locked out gets in again. After an outage an instance hears of an
-    // older version from a peer that was cut off, or from a stale read, and applies it.
+    // Guards against applying an older version from a stale read or a partitioned peer, which could
+    // restore access that was revoked.
     const property = fc.property(
       fc.array(fc.record({ version: fc.integer({ min: 1, max: 9 }), isFetched: fc.boolean() }), {
         maxLength: 40,
--- a/src/configuration/declaration-error.ts
+++ b/src/configuration/declaration-error.ts
@@ -1,13 +1,12 @@
-/** A fault in a declaration, with where it stands and what to do. */
+/** An error at one place of a declaration file. */
 export interface DeclarationError {
   readonly file: string;
-  /** Line counted from 1. */
+  /** 1-based. */
   readonly line: number;
-  /** What is wrong and the remedy. */
+  /** States the error and how to correct it. */
   readonly message: string;
 }
 
-/** The error as one line for people. */
 export function formatDeclarationError(error: DeclarationError): string {
   return `${error.file}:${error.line}: ${error.message}`;
 }
--- a/src/configuration/keeper.ts
+++ b/src/configuration/keeper.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps the configuration in force on one instance. It hears of versions from the platform and from
- * peers, fetches what it lacks by content hash, and applies only what is higher than what it has.
+ * Keeps the configuration of one instance up to date. The platform and peers announce versions;
+ * files that are missing locally are fetched by content hash.
  *
- * Guards against falling back to an older configuration: it shows after an outage, when a stale
- * read or a peer that was cut off names a lower version. Versions come from one compare-and-set
- * counter, so a higher number is always later, and lower or equal ones are ignored here.
+ * Only a version higher than the current one is applied, since a stale read or a peer that was
+ * partitioned may announce an older one. Versions come from a single compare-and-set counter, so a
+ * higher number is always newer.
  */
 import type { Invariants } from '../runtime/invariants.js';
 import type { Declarations } from '../types/declarations.js';
@@ -15,19 +15,17 @@
 import { parseManifest } from './manifest.js';
 import type { Manifest } from './manifest.js';
 
-/** Marks the platform as a source; every other source is a peer's name. */
+/** The platform as the source of a version; any other source is the name of a peer. */
 export const PLATFORM_SOURCE = 'platform';
 
-/** A chosen poller reads the platform's head this often, in milliseconds. */
+/** Polling interval of the instances that poll the platform for their data centre. */
 export const POLL_MS = 1000;
-/** Every other instance does so this often: the way out when all pollers of a data centre fail. */
+/** Polling interval of all other instances, in case every poller of a data centre fails. */
 export const POLL_IDLE_MS = 15_000;
-/** A fetch without an end after this long is given up, in milliseconds. */
 const FETCH_TIMEOUT_MS = 4000;
-/** Sources of a version remembered. */
 const SOURCES_KEPT = 8;
 
-/** What a keeper is told. */
+/** Input of the state machine. */
 export type KeeperMessage =
   | { readonly kind: 'announced'; readonly version: number; readonly source: string }
   | {
@@ -39,26 +37,24 @@
   | { readonly kind: 'fetch_failed'; readonly source: string }
   | { readonly kind: 'tick'; readonly isPoller: boolean };
 
-/** What a keeper asks for. */
+/** An action for the caller to carry out. */
 export type KeeperCommand =
   | { readonly kind: 'poll' }
   | { readonly kind: 'fetch'; readonly version: number; readonly source: string }
   | { readonly kind: 'apply'; readonly declarations: Declarations }
   | { readonly kind: 'reject'; readonly version: number; readonly reason: string };
 
-/** The configuration of one instance. */
 export interface ConfigurationKeeper {
   handle(message: KeeperMessage, nowMs: number): KeeperCommand[];
-  /** The version in force; 0 before the first. */
+  /** The current version; 0 if none has been applied yet. */
   getVersion(): number;
   getManifestText(): string;
-  /** A text held here, for peers. */
+  /** Returns the content of a file of the current version, to serve it to peers. */
   findText(hash: string): string | undefined;
-  /** Hashes of a manifest that are not held here. */
+  /** Lists the hashes in a manifest whose content is not available locally. */
   listMissing(manifest: Manifest): string[];
 }
 
-/** Builds a keeper without a configuration. */
 export function createConfigurationKeeper(invariants: Invariants): ConfigurationKeeper {
   const compiler = createCompiler();
   let texts = new Map<string, string>();
@@ -73,7 +69,7 @@
     const isBusy = fetching !== undefined && nowMs - fetching.sinceMs < FETCH_TIMEOUT_MS;
     if (isBusy) return;
     sources = sources.filter((candidate) => candidate.version > version);
-    // Peers first: they are near, and the platform's reads are limited.
+    // Prefer peers over the platform: they are closer, and the platform limits reads.
     const ranked = [...sources].sort(
       (a, b) =>
         b.version - a.version ||
@@ -91,7 +87,7 @@
     startFetch(nowMs);
   }
 
-  /** Forgets who offered what: a bad version is not asked for again until it is announced again. */
+  /** Clears the sources, so that a rejected version is not fetched again until it is announced again. */
   function refuseVersion(refused: number, reason: string): void {
     sources = [];
     commands.push({ kind: 'reject', version: refused, reason });
--- a/src/configuration/merge-files.ts
+++ b/src/configuration/merge-files.ts
@@ -1,7 +1,4 @@
-/**
- * Merges checked files in the order of their names into one set of declarations. A name declared
- * twice and a name that refers to nothing are refused, each with file, line and remedy.
- */
+/** Merges declaration files and checks the result for duplicates and dangling references. */
 import type {
   ClassDeclaration,
   Declarations,
@@ -14,14 +11,13 @@
 import { SECTIONS } from './parse-file.js';
 import type { ParsedFile, Section } from './parse-file.js';
 
-/** Floors may promise this share of a shard in sum; the rest is the contest's. */
+/** Highest sum of all class floors; the rest of a shard is not reserved for any class. */
 export const FLOOR_SUM_MAX = 0.5;
 
 const KEY_PREFIX = 'sha256:';
 
 type Place = readonly [file: ParsedFile, path: readonly string[]];
 
-/** Builds the error for a place in a file. */
 function createError([file, path]: Place, message: string): DeclarationError {
   return { file: file.name, line: file.getLine(path), message };
 }
@@ -146,7 +142,7 @@
   return pools;
 }
 
-/** Organisations of files that did not change are shared between versions: nearly all of them. */
+/** Caches organisations by parsed file, so that versions share those of unchanged files. */
 const organisationsOfFile = new WeakMap<ParsedFile, readonly OrganisationDeclaration[]>();
 
 function listOrganisations(file: ParsedFile): readonly OrganisationDeclaration[] {
@@ -171,7 +167,7 @@
   return organisations;
 }
 
-/** Merges files; the order of their names decides the order of everything in the result. */
+/** Merges files in the order of their names, so that the result does not depend on the input order. */
 export function mergeFiles(
   files: readonly ParsedFile[],
   version: number,
--- a/src/configuration/parse-file.ts
+++ b/src/configuration/parse-file.ts
@@ -1,4 +1,4 @@
-/** Reads one YAML file of declarations and checks it against the schema, keeping line numbers. */
+/** Parses one YAML declaration file and validates it against the schema. */
 import { LineCounter, isMap, isScalar, parseDocument } from 'yaml';
 import type { Document, Node } from 'yaml';
 import type { z } from 'zod';
@@ -10,14 +10,13 @@
 
 type Path = readonly PropertyKey[];
 
-/** Sections of a file. */
 export const SECTIONS = ['classes', 'organisations', 'pools'] as const;
 export type Section = (typeof SECTIONS)[number];
 
-/** A parsed file that can say where each declaration stands. */
 export interface ParsedFile {
   readonly name: string;
   readonly content: DeclarationFile;
+  /** Returns the 1-based line of the node at a path, or of its closest existing ancestor. */
   getLine(path: Path): number;
 }
 
@@ -36,7 +35,7 @@
   return document.contents ?? undefined;
 }
 
-/** Parses once more: lines are asked for only in errors, and a kept document takes ten times its text. */
+/** Parses the text again: only errors need lines, and keeping every document would cost memory. */
 function findLine(text: string, path: Path): number {
   const lineCounter = new LineCounter();
   const document = parseDocument(text, { lineCounter });
@@ -50,7 +49,6 @@
   return `${where === '' ? 'the file' : where}: ${issue.message}${unknown}`;
 }
 
-/** Parses and checks one file. */
 export function parseDeclarationFile(
   name: string,
   text: string,
--- a/src/configuration/publish.ts
+++ b/src/configuration/publish.ts
@@ -1,6 +1,7 @@
 /**
- * Publishes a folder: uploads texts, then moves the head by compare-and-set together with an audit
- * record. Operators who race merge file by file; the same file changed by both is a conflict.
+ * Publishes a folder: uploads the files, then updates the head by compare-and-set in one transaction
+ * with an audit record. Concurrent publications are merged by file; if both changed the same file,
+ * the later one fails with a conflict.
  */
 import { PLATFORM_FAILURE } from '../storage/platform-error.js';
 import type { PlatformError } from '../storage/platform-error.js';
@@ -15,12 +16,11 @@
 import type { FileChange, FolderFiles, Manifest } from './manifest.js';
 import type { AuditRecord, ConfigurationStore } from './store.js';
 
-/** Compare-and-set rounds before giving up. */
+/** Attempts to rebase onto a concurrent publication. */
 const ROUNDS_MAX = 8;
-/** Times a write without an answer is sent again; the compare-and-set makes that safe. */
+/** Attempts at a write that gets no response; the compare-and-set makes a retry safe. */
 const AMBIGUOUS_TRIES = 4;
 
-/** Why a publication failed. */
 export type PublishError =
   | { readonly kind: 'invalid'; readonly errors: readonly DeclarationError[] }
   | {
@@ -32,17 +32,16 @@
     }
   | { readonly kind: 'unknown_base'; readonly version: number }
   | { readonly kind: 'raced'; readonly rounds: number }
-  /** The head may have moved: the answer was lost and nothing could be read back. */
+  /** The write got no response and its outcome could not be read back. */
   | { readonly kind: 'uncertain'; readonly publishId: string }
   | { readonly kind: 'platform'; readonly error: PlatformError };
 
-/** What to publish. */
 export interface PublishRequest {
-  /** The files as they shall be; with `only`, just those are looked at. */
+  /** The desired files; with `only`, all others are ignored. */
   readonly files: FolderFiles;
-  /** Names of the files this publication may change; undefined: all. */
+  /** Names of the files that may change; undefined for all. */
   readonly only: readonly string[] | undefined;
-  /** The version the files were edited from; undefined: the one in force now. */
+  /** The version the files were edited from; undefined for the current one. */
   readonly baseVersion: number | undefined;
   readonly who: string;
   readonly reason: string;
@@ -50,7 +49,6 @@
   readonly publishId: string;
 }
 
-/** A published configuration. */
 export interface Published {
   readonly version: number;
   readonly changes: readonly FileChange[];
@@ -59,7 +57,6 @@
 
 const EMPTY: Manifest = { files: [] };
 
-/** The error as a message that names the remedy. */
 export function formatPublishError(error: PublishError): string {
   switch (error.kind) {
     case 'invalid':
@@ -115,7 +112,7 @@
   return loadManifest(store, record.val.manifestHash);
 }
 
-/** What the publisher wants changed against its base. */
+/** Lists the changes of a publication relative to its base version. */
 function listOwnChanges(request: PublishRequest, base: Manifest): FileChange[] {
   const changes = compareManifests(base, buildManifest(request.files));
   const { only } = request;
@@ -140,7 +137,7 @@
   };
 }
 
-/** The first file that both sides changed, to different ends. */
+/** Finds the first file that both sides changed to different content. */
 function findConflict(
   own: readonly FileChange[],
   theirs: readonly FileChange[],
@@ -172,7 +169,7 @@
   for (const { name, hash } of manifest.files) {
     const text = known.get(hash);
     if (text === undefined) {
-      // One after the other: a publication is rare and must not crowd the store.
+      // Sequential, to limit the load on the store.
       // eslint-disable-next-line no-await-in-loop
       const loaded = await store.getText(hash);
       if (loaded.err) return Err({ kind: 'platform', error: loaded.val });
@@ -184,7 +181,10 @@
   return Ok(files);
 }
 
-/** Whether the audit trail shows this publication at its version, whoever published after it. */
+/**
+ * Whether the audit record of this version is this publication's. Unlike the head, the record stays
+ * when others publish later versions. Undefined if it could not be read.
+ */
 async function isPublished(
   store: ConfigurationStore,
   record: AuditRecord,
@@ -197,9 +197,8 @@
 type WriteVerdict = 'published' | 'lost_race' | 'uncertain' | PlatformError;
 
 /**
- * Moves the head. Guards against an answer lost after the write took effect: it shows as a timeout
- * on a publication that is in force. The same compare-and-set is sent again with the same id; it can
- * take effect once only, and the audit record tells whose it was.
+ * Updates the head. The response may be lost after the write took effect, so the same compare-and-set
+ * is retried: it succeeds at most once, and the id in the audit record identifies the writer.
  */
 async function storeRecord(store: ConfigurationStore, record: AuditRecord): Promise<WriteVerdict> {
   for (let tries = 0; tries < AMBIGUOUS_TRIES; tries += 1) {
@@ -228,7 +227,6 @@
   return Ok(undefined);
 }
 
-/** Publishes files; returns the version they are in force as. */
 export async function publishFiles(
   store: ConfigurationStore,
   request: PublishRequest,
@@ -288,7 +286,7 @@
   return Err({ kind: 'raced', rounds: ROUNDS_MAX });
 }
 
-/** The files of a published version, for diff and rollback. */
+/** Loads the files of a published version, by default the current one. */
 export async function loadPublished(
   store: ConfigurationStore,
   version: number | undefined,
--- a/src/configuration/read-folder.ts
+++ b/src/configuration/read-folder.ts
@@ -1,11 +1,10 @@
-/** Reads a folder of declaration files. */
 import { readFile, readdir } from 'node:fs/promises';
 import { join } from 'node:path';
 import type { FolderFiles } from './manifest.js';
 
 const FILE_PATTERN = /\.ya?ml$/;
 
-/** The YAML files directly in a folder, by name. */
+/** Reads the YAML files of a folder, without subfolders. */
 export async function readFolder(folder: string): Promise<FolderFiles> {
   const entries = await readdir(folder, { withFileTypes: true });
   const names = entries
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of one declaration file, before files are merged. */
+/** Schema of a single declaration file, before files are merged. */
 import { z } from 'zod';
 import { FENCING, POOL_KIND } from '../types/declarations.js';
 
@@ -52,12 +52,10 @@
   endpoints: z.record(nameSchema, endpointSchema),
 });
 
-/** One file: any of the three sections. */
 export const fileSchema = z.strictObject({
   classes: z.record(nameSchema, classSchema).default({}),
   organisations: z.record(nameSchema, organisationSchema).default({}),
   pools: z.record(nameSchema, poolSchema).default({}),
 });
 
-/** A checked file. */
 export type DeclarationFile = z.infer<typeof fileSchema>;
--- a/src/orders/order-lease.ts
+++ b/src/orders/order-lease.ts
@@ -1,15 +1,14 @@
-/** The lease under which one instance orders a shard's engines. */
+/** The lease that allows one instance to send model orders to a shard's engines. */
 import type { LeaseBounds } from '../leases/lease-bounds.js';
 
-/** An order is answered or given up within this time, in milliseconds. */
+/** Timeout of an order. */
 export const ORDER_FLIGHT_MS = 3000;
 
-/** The lease's times. */
 export const ORDER_LEASE: LeaseBounds = {
   lengthMs: 6000,
   renewMs: 2000,
   lapseMarginMs: 1500,
-  // Nobody removes documents from the table service.
+  // Documents are never removed from the table service.
   absentMs: 0,
   safetyMs: 1000,
   settlingMs: ORDER_FLIGHT_MS,
--- a/src/orders/reconciler.ts
+++ b/src/orders/reconciler.ts
@@ -1,33 +1,31 @@
 /**
- * Brings engines to the models that are declared, with as few loads as it can, free of I/O. Orders
- * say the whole wanted state, so one that is repeated or late does no harm that the next look at the
- * engine's report would not repair.
+ * Reconciles the models that engines have loaded with the declared ones. An order carries the whole
+ * desired state, so repeated and late orders are corrected with the next report. Does no I/O.
  */
 import { createBoundedMap } from '../utils/bounded-map.js';
 
-/** Loads begun a second, so that the weight store's rate is kept. */
+/** Rate limit for model loads, to protect the store of model weights. */
 const LOADS_PER_SECOND = 0.5;
 const LOADS_BURST = 2;
-/** After an order an engine has this long to show its effect, in milliseconds. */
+/** Time for an engine to report the effect of an order before it gets another one. */
 const SETTLE_MS = 5000;
 const ENGINES_KEPT = 4096;
 
-/** What an engine reports. */
+/** The models that an engine reports as loaded. */
 export interface EngineReport {
   readonly endpoint: string;
   readonly models: readonly string[];
 }
 
-/** An order to one engine. */
+/** An order to an engine to load exactly these models. */
 export interface EngineOrder {
   readonly endpoint: string;
   readonly fence: number;
   readonly models: readonly string[];
 }
 
-/** Decides which orders are due. */
 export interface Reconciler {
-  /** Orders for the engines whose report differs from `wanted`. */
+  /** Returns orders for engines whose models differ from `wanted`, within the rate limit. */
   handle(
     reports: readonly EngineReport[],
     wanted: readonly string[],
@@ -36,7 +34,6 @@
   ): EngineOrder[];
 }
 
-/** Builds a reconciler that has ordered nothing. */
 export function createReconciler(): Reconciler {
   const orderedMs = createBoundedMap<string, number>(ENGINES_KEPT);
   let allowance = LOADS_BURST;
--- a/src/storage/instance-list-client.ts
+++ b/src/storage/instance-list-client.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's list of live and leaving instances. The list lags behind the truth. */
+/** Client of the platform's instance list, which is eventually consistent. */
 import { request } from 'undici';
 import { z } from 'zod';
 import { Err, Ok } from '../utils/result.js';
@@ -8,7 +8,6 @@
 
 const LIST_TIMEOUT_MS = 1500;
 
-/** States the platform lists an instance in. */
 export const LISTED_STATE = { Live: 'live', Leaving: 'leaving' } as const;
 
 const listedInstanceSchema = z.object({
@@ -18,17 +17,14 @@
   state: z.enum([LISTED_STATE.Live, LISTED_STATE.Leaving]),
 });
 
-/** An instance as the platform lists it. */
 export type ListedInstance = z.infer<typeof listedInstanceSchema>;
 
-/** The platform's list. */
 export interface InstanceListClient {
   list(): Promise<Result<readonly ListedInstance[], PlatformError>>;
-  /** Tells the platform of this instance; the platform drops it some time after the last call. */
+  /** Registers this instance; the platform removes it some time after the last call. */
   set(instance: ListedInstance): Promise<Result<void, PlatformError>>;
 }
 
-/** Builds a client with a bearer token. */
 export function createInstanceListClient(url: string, token: string): InstanceListClient {
   const headers = { authorization: `Bearer ${token}`, 'content-type': 'application/json' };
 
--- a/src/storage/object-client.ts
+++ b/src/storage/object-client.ts
@@ -1,17 +1,16 @@
-/** Client of the platform's object store, by the published S3 REST protocol (path style). */
+/** Client of the platform's object store (S3 REST protocol, path-style addressing). */
 import { Err, Ok } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
 import { PLATFORM_FAILURE, createPlatformError } from './platform-error.js';
 import type { PlatformError } from './platform-error.js';
 import type { SignedClient } from './signed-client.js';
 
-/** Objects by name; objects are written once and never changed. */
+/** Access to immutable objects by name. */
 export interface ObjectClient {
   get(name: string): Promise<Result<string | undefined, PlatformError>>;
   store(name: string, text: string): Promise<Result<void, PlatformError>>;
 }
 
-/** Builds a client of one bucket. */
 export function createObjectClient(client: SignedClient, bucket: string): ObjectClient {
   const createRejection = (verb: string, status: number): PlatformError =>
     createPlatformError(
--- a/src/storage/platform-error.ts
+++ b/src/storage/platform-error.ts
@@ -1,24 +1,20 @@
-/** Failures of the platform's services, by what the caller may conclude. */
-
-/** What is known after a failed call. */
+/** What a failed call to a platform service means for the state behind it. */
 export const PLATFORM_FAILURE = {
-  /** A condition did not hold; nothing was written. */
+  /** A condition of the write was not met; nothing was written. */
   Conflict: 'conflict',
-  /** Turned away before any effect. */
+  /** The call had no effect. */
   Rejected: 'rejected',
-  /** No answer: the write may or may not have taken effect, or may still. */
+  /** No response: a write may have taken effect or may still do so. */
   Ambiguous: 'ambiguous',
 } as const;
 export type PlatformFailure = (typeof PLATFORM_FAILURE)[keyof typeof PLATFORM_FAILURE];
 
-/** A failed call to the platform. */
 export interface PlatformError {
   readonly kind: PlatformFailure;
-  /** Says what failed and what to do. */
+  /** States what failed and what to do about it. */
   readonly message: string;
 }
 
-/** Builds a failure. */
 export function createPlatformError(kind: PlatformFailure, message: string): PlatformError {
   return { kind, message };
 }
--- a/src/storage/signed-client.ts
+++ b/src/storage/signed-client.ts
@@ -1,4 +1,4 @@
-/** HTTP to the platform, signed (version 4, by the aws4 library), with a deadline on every call. */
+/** HTTP client of the platform with AWS signature version 4 and a timeout on every call. */
 import aws4 from 'aws4';
 import { Pool } from 'undici';
 import { Err, Ok } from '../utils/result.js';
@@ -6,7 +6,6 @@
 import { PLATFORM_FAILURE, createPlatformError } from './platform-error.js';
 import type { PlatformError } from './platform-error.js';
 
-/** One call. */
 export interface SignedRequest {
   readonly method: 'GET' | 'PUT' | 'POST';
   readonly path: string;
@@ -14,13 +13,12 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** An answer of any status. */
+/** A response with any status. */
 export interface SignedResponse {
   readonly status: number;
   readonly text: string;
 }
 
-/** Settings of a client. */
 export interface SignedClientOptions {
   readonly url: string;
   readonly service: 'dynamodb' | 's3';
@@ -30,7 +28,6 @@
   readonly timeoutMs?: number;
 }
 
-/** A client of one service. */
 export interface SignedClient {
   send(request: SignedRequest): Promise<Result<SignedResponse, PlatformError>>;
   close(): Promise<void>;
@@ -38,7 +35,7 @@
 
 const DEFAULT_TIMEOUT_MS = 1500;
 const CONNECTIONS = 8;
-/** Errors raised before a byte of the request was sent: the call had no effect. */
+/** Errors raised before the request was sent, so that the call had no effect. */
 const UNSENT_CODES = ['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND', 'EHOSTUNREACH'];
 
 function getErrorCode(error: unknown): string {
@@ -46,7 +43,7 @@
   return code ?? message ?? 'unknown';
 }
 
-/** Builds a client with its own connections. */
+/** Creates a client with its own connection pool. */
 export function createSignedClient(options: SignedClientOptions): SignedClient {
   const { origin, host } = new URL(options.url);
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
@@ -76,8 +73,8 @@
           path: request.path,
           headers: buildHeaders(request),
           body: request.body ?? null,
-          // Guards against a connection that went silent for good: it shows as no answer and no
-          // error. The signal ends the call, and undici drops the connection with it.
+          // Ends calls on a half-open connection, which neither responds nor fails; undici closes the
+          // connection as well.
           signal: AbortSignal.timeout(timeoutMs),
         });
         return Ok({ status: response.statusCode, text: await response.body.text() });
--- a/src/storage/table-client.ts
+++ b/src/storage/table-client.ts
@@ -1,7 +1,7 @@
 /**
- * Client of the platform's transactional table service, which speaks the published DynamoDB JSON
- * protocol (GetItem, Query, TransactWriteItems; signature version 4). Every item has a partition
- * key, a sort key, a version that only grows, and a JSON document.
+ * Client of the platform's transactional table service (DynamoDB JSON protocol: GetItem, Query,
+ * TransactWriteItems). An item has a partition key, a sort key, an increasing version and a JSON
+ * document.
  */
 import { PLATFORM_FAILURE, createPlatformError } from './platform-error.js';
 import type { PlatformError } from './platform-error.js';
@@ -9,13 +9,11 @@
 import { Err, Ok } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
 
-/** Where an item lives. */
 export interface ItemKey {
   readonly partition: string;
   readonly sort: string;
 }
 
-/** An item as read. */
 export interface TableItem<T> {
   readonly key: ItemKey;
   readonly version: number;
@@ -24,9 +22,9 @@
 
 /** One write of a transaction. */
 export type TableWrite =
-  /** Only if there is no such item. */
+  /** Fails if the item exists. */
   | { readonly kind: 'insert'; readonly key: ItemKey; readonly document: unknown }
-  /** Only if the item is at `expectedVersion`; it moves to the next. */
+  /** Fails unless the item is at `expectedVersion`, which is then incremented. */
   | {
       readonly kind: 'replace';
       readonly key: ItemKey;
@@ -34,22 +32,20 @@
       readonly expectedVersion: number;
     };
 
-/** Options of a query. */
 export interface QueryOptions {
-  /** Newest (highest sort key) first. @default false */
+  /** Highest sort key first. @default false */
   readonly isReversed?: boolean;
   /** @default 100 */
   readonly limit?: number;
 }
 
-/** The table service. */
 export interface TableClient {
   get<T>(key: ItemKey): Promise<Result<TableItem<T> | undefined, PlatformError>>;
   query<T>(
     partition: string,
     options?: QueryOptions,
   ): Promise<Result<TableItem<T>[], PlatformError>>;
-  /** All of the writes or none of them. */
+  /** Applies all writes or none. */
   transact(writes: readonly TableWrite[]): Promise<Result<void, PlatformError>>;
 }
 
@@ -93,7 +89,6 @@
   return { Put: { TableName: table, Item: item, ...condition } };
 }
 
-/** Builds a client of one table. */
 export function createTableClient(client: SignedClient, table: string): TableClient {
   async function send<T>(operation: string, body: object): Promise<Result<T, PlatformError>> {
     const answer = await client.send({
--- a/src/types/declarations.ts
+++ b/src/types/declarations.ts
@@ -1,58 +1,56 @@
-/** The declarations operators keep in version control, checked and merged. */
+/** Validated and merged declarations. */
 
-/** A class of requests: its priority, its latency targets and its guaranteed share. */
+/** Priority, latency targets and guaranteed capacity of a class of requests. */
 export interface ClassDeclaration {
   readonly name: string;
-  /** Priority; 0 is served first. */
+  /** Priority; 0 is the highest. */
   readonly tier: number;
-  /** Target for the first token, in milliseconds. */
+  /** Target time to first token. */
   readonly firstTokenMs: number;
-  /** Target between two tokens, in milliseconds. */
+  /** Target time between tokens. */
   readonly betweenTokensMs: number;
-  /** A whole answer later than this many milliseconds is worth nothing. */
+  /** Time limit for the complete response. */
   readonly deadlineMs: number;
-  /** Share of a shard's slots kept for the class while it has waiting work, 0 to 1. */
+  /** Share of a shard's slots reserved for the class while it has waiting requests, 0 to 1. */
   readonly floor: number;
 }
 
-/** What one organisation may use at most, over the whole fleet. */
+/** Limits of an organisation across all instances. */
 export interface OrganisationLimits {
   readonly concurrency: number;
   readonly requestsPerSecond: number;
 }
 
-/** An organisation that sends requests. */
 export interface OrganisationDeclaration {
   readonly name: string;
-  /** Hex SHA-256 of each accepted key; the keys themselves are never kept. */
+  /** Hex SHA-256 hashes of the accepted keys; the keys themselves are not stored. */
   readonly keyHashes: readonly string[];
   readonly classes: readonly string[];
   readonly defaultClass: string;
   readonly pools: readonly string[];
   readonly limits: OrganisationLimits;
-  /** Share within a class relative to other organisations. */
+  /** Relative share of the organisation within a class. */
   readonly weight: number;
 }
 
-/** One back end. */
 export interface EndpointDeclaration {
   readonly name: string;
   readonly pool: string;
   readonly url: string;
   readonly dataCentre: string;
-  /** Requests the endpoint runs at once. */
+  /** Requests that the endpoint runs concurrently. */
   readonly slots: number;
 }
 
-/** Whether a pool's endpoints refuse an order with an old fencing number. */
+/** Whether a pool's endpoints refuse orders with an outdated fencing token. */
 export const FENCING = { Checked: 'checked', Ignored: 'ignored' } as const;
 export type Fencing = (typeof FENCING)[keyof typeof FENCING];
 
-/** What stands behind a pool. */
+/** Type of the endpoints in a pool. */
 export const POOL_KIND = { Engine: 'engine', Service: 'service' } as const;
 export type PoolKind = (typeof POOL_KIND)[keyof typeof POOL_KIND];
 
-/** Endpoints that serve the same thing. */
+/** A group of interchangeable endpoints. */
 export interface PoolDeclaration {
   readonly name: string;
   readonly kind: PoolKind;
@@ -61,7 +59,7 @@
   readonly endpoints: readonly EndpointDeclaration[];
 }
 
-/** A whole configuration at one version. */
+/** One version of the complete configuration. */
 export interface Declarations {
   readonly version: number;
   readonly classes: ReadonlyMap<string, ClassDeclaration>;
--- a/src/types/outcomes.ts
+++ b/src/types/outcomes.ts
@@ -1,15 +1,15 @@
-/** What a caller may conclude about a request that got no whole answer: a wire contract. */
+/** How far a request without a complete response was processed. Part of the wire protocol. */
 export const OUTCOME = {
-  /** No endpoint ran any of it; proved by the code that says so. */
+  /** No endpoint started the request, so it is safe to retry. */
   NotRun: 'not_run',
-  /** An endpoint may have run it. */
+  /** An endpoint may have run the request. */
   MayHaveRun: 'may_have_run',
-  /** Part of the answer was delivered. */
+  /** Part of the response was delivered. */
   Incomplete: 'incomplete',
 } as const;
 export type Outcome = (typeof OUTCOME)[keyof typeof OUTCOME];
 
-/** Every kind of failure a caller can see. */
+/** Failure types in responses to callers. */
 export const FAILURE = {
   Unauthenticated: 'unauthenticated',
   ForbiddenClass: 'forbidden_class',
@@ -36,17 +36,15 @@
 } as const;
 export type Failure = (typeof FAILURE)[keyof typeof FAILURE];
 
-/** A typed failure on its way to the caller. */
 export interface RequestFailure {
   readonly type: Failure;
-  /** Says what happened and what to do about it. */
+  /** States what happened and what to do about it. */
   readonly message: string;
   readonly outcome: Outcome;
-  /** When to come back, in milliseconds, where that helps. */
+  /** Suggested delay before a retry. */
   readonly retryAfterMs?: number;
 }
 
-/** The HTTP status that goes with each failure. */
 export const STATUS_OF_FAILURE: Readonly<Record<Failure, number>> = {
   unauthenticated: 401,
   forbidden_class: 403,
--- a/src/types/peer-messages.ts
+++ b/src/types/peer-messages.ts
@@ -1,10 +1,10 @@
-/** The typed messages between processes, as the committed generated code gives them. */
+/** Types of the protobuf messages between instances. */
 import type { PeerMessage } from '../gen/peer_pb.js';
 
-/** One message to a peer, told apart by `case`. */
+/** A message body, discriminated by `case`. */
 export type PeerBody = Exclude<PeerMessage['body'], { case: undefined }>;
 
-/** A message on its way to a named instance. */
+/** A message with the name of the instance it is sent to. */
 export interface AddressedMessage {
   readonly to: string;
   readonly body: PeerBody;
--- a/src/types/router-events.ts
+++ b/src/types/router-events.ts
@@ -1,6 +1,6 @@
-/** Events a router emits for logs, the demo and tests. */
+/** Events that a router emits. */
 
-/** A step in a request's life that somebody on call would want to see. */
+/** A state transition of a request. */
 export interface DecisionEvent {
   readonly requestId: string;
   readonly organisation: string;
@@ -18,18 +18,18 @@
   readonly detail?: string;
 }
 
-/** A configuration came into force. */
+/** A configuration version was applied. */
 export interface ConfigurationEvent {
   readonly version: number;
 }
 
-/** A member or endpoint changed its state. */
+/** An instance or endpoint changed its state. */
 export interface MemberEvent {
   readonly subject: string;
   readonly state: string;
 }
 
-/** Events by name, for emittery. */
+/** Event payloads by name. */
 export interface RouterEvents {
   decision: DecisionEvent;
   configuration: ConfigurationEvent;
--- a/src/types/router-status.ts
+++ b/src/types/router-status.ts
@@ -1,9 +1,9 @@
-/** What a router tells its operators. */
+/** Status of a router for its operators. */
 import type { ShardView } from '../admission/owner-messages.js';
 import type { Stage } from '../lifecycle/drain.js';
 import type { InvariantBreach } from '../runtime/invariants.js';
 
-/** An instance as this router sees it. */
+/** An instance from the point of view of this router. */
 export interface MemberStatus {
   readonly name: string;
   readonly dataCentre: string;
@@ -12,7 +12,7 @@
   readonly configurationVersion: number;
 }
 
-/** The state of one router and what it sees of the fleet. */
+/** The state of a router and its view of the other instances. */
 export interface RouterStatus {
   readonly name: string;
   readonly dataCentre: string;
@@ -25,7 +25,7 @@
   readonly leavingEndpoints: readonly string[];
   /** Shards this router owns. */
   readonly shards: readonly ShardView[];
-  /** Shards whose engines this router may order now. */
+  /** Shards for which this router holds the order lease. */
   readonly leases: readonly string[];
   readonly invariantBreaches: number;
   readonly breaches: readonly InvariantBreach[];
--- a/src/types/traffic.ts
+++ b/src/types/traffic.ts
@@ -1,85 +1,85 @@
-/** The declared traffic of a deployment: routes, pools, organisations and what callers may send. */
+/** The declared traffic of a deployment. */
 
-/** How often a call may run, and what its answer looks like. */
+/** How often a call may run, and whether its response is a stream. */
 export const CALL_KIND = {
   Idempotent: 'idempotent',
-  /** At most once for each attempt of the caller. */
+  /** Runs at most once for each request of the caller. */
   NonIdempotent: 'non_idempotent',
-  /** An event stream that may run once only. */
+  /** An event stream that runs at most once. */
   Stream: 'stream',
-  /** An event stream that another endpoint may continue after the last event delivered. */
+  /** An event stream that another endpoint can resume after the last delivered event. */
   ResumableStream: 'resumable_stream',
 } as const;
 export type CallKind = (typeof CALL_KIND)[keyof typeof CALL_KIND];
 
-/** A pool and its share of a route's calls, relative to the other weights. */
+/** A pool with its relative share of a route's calls. */
 export interface WeightedPool {
   readonly pool: string;
   readonly weight: number;
 }
 
-/** Calls of one host below one path. */
+/** Matches calls by host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
   readonly kind: CallKind;
-  /** The longest a call may be kept waiting, in milliseconds. */
+  /** Default and upper limit of the timeout that a caller may request. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to the first event of a stream, in milliseconds. */
+  /** Target time to the response, or to the first event of a stream. */
   readonly targetMs: number;
-  /** The longest pause between events of a stream that is still in time, in milliseconds. */
+  /** Target time between two events of a stream. */
   readonly gapTargetMs: number | undefined;
-  /** 0 is the most urgent. */
+  /** 0 is the highest. */
   readonly priority: number;
-  /** Endpoints one call may be sent to. */
+  /** Maximum number of endpoints that a call is sent to. */
   readonly attemptsMax: number;
-  /** Whether calls need no key. */
+  /** Whether calls are accepted without a key. */
   readonly isPublic: boolean;
   readonly pools: readonly WeightedPool[];
 }
 
-/** What a pool's model engines can hold. */
+/** Capacity of a model engine. */
 export interface EngineShape {
-  /** Requests in one batch. */
+  /** Maximum number of requests in a batch. */
   readonly slots: number;
-  /** Tokens of running requests and cached prompts. */
+  /** Tokens that fit into the cache, for running requests and cached prompts. */
   readonly cacheTokens: number;
 }
 
-/** What may be ordered of a pool's endpoints. */
+/** Limits for scaling a pool. */
 export interface ScalingBounds {
-  /** Data centres in which they may be; those where there are some, if none is named. */
+  /** Data centres to scale in; if empty, those that already have endpoints of the pool. */
   readonly dataCentres: readonly string[];
-  /** Fewest and most in each data centre, of all kinds together. */
+  /** Minimum number of endpoints in each data centre, on-demand and spot together. */
   readonly min: number;
+  /** Maximum number of endpoints in each data centre, on-demand and spot together. */
   readonly max: number;
-  /** From an order to the first call, in milliseconds. */
+  /** Time from the request for an endpoint to its first call. */
   readonly bootMs: number;
-  /** Price of an endpoint that may be taken back, as a part of the others'; undefined where there are none. */
+  /** Price of a spot endpoint as a fraction of the on-demand price; undefined if there are none. */
   readonly spotPrice: number | undefined;
 }
 
-/** A pool of equal endpoints. */
+/** A group of interchangeable endpoints. */
 export interface TrafficPool {
   readonly name: string;
-  /** Connections an endpoint accepts from all instances together. */
+  /** Connections that an endpoint accepts from all instances together. */
   readonly connectionsMax: number;
   /** Undefined for plain services. */
   readonly engine: EngineShape | undefined;
-  /** Undefined where nobody orders endpoints. */
+  /** Undefined if the pool is not scaled by the router. */
   readonly scaling: ScalingBounds | undefined;
 }
 
-/** An organisation that sends calls. */
 export interface CallingOrganisation {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Replaces the route's priority. */
+  /** Overrides the route's priority. */
   readonly priority: number | undefined;
 }
 
-/** What a caller may send. */
+/** Limits on incoming calls. */
 export interface CallerLimits {
   readonly headerBytesMax: number;
   readonly bodyBytesMax: number;
@@ -96,18 +96,17 @@
   readonly limits: CallerLimits;
 }
 
-/** One endpoint as it registered itself. */
 export interface RegisteredEndpoint {
-  /** The name the endpoint registers itself under; it may start again under the same one. */
+  /** The name that the endpoint registers with; it is kept across restarts. */
   readonly id: string;
-  /** Names one start of the endpoint. What is believed of an endpoint is kept by it and ends with it. */
+  /** Identifies one start of the endpoint; state about the endpoint is discarded when it changes. */
   readonly startId: string;
   readonly pool: string;
   readonly address: string;
   readonly dataCentre: string;
-  /** Calls it runs at once. */
+  /** Calls that the endpoint runs concurrently. */
   readonly slots: number;
   readonly isLeaving: boolean;
-  /** It may be taken back at any time. */
+  /** Whether the provider may reclaim the endpoint at any time. */
   readonly isSpot: boolean;
 }
