--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -56,8 +56,8 @@
     .version(false)
     .wrap(100)
     .epilogue(
-      `Every flag is also an environment variable: --some-flag is ${options.envPrefix}_SOME_FLAG.\n` +
-        'Exit codes: 0 done, 1 failed, 2 wrong usage, 3 conflict, 4 platform or router unreachable.',
+      `Every flag can also be set by an environment variable: --some-flag by ${options.envPrefix}_SOME_FLAG.\n` +
+        'Exit codes: 0 success, 1 failure, 2 usage error, 3 conflict, 4 platform or router unreachable.',
     );
   for (const [command, description] of options.examples) parser.example(command, description);
   parser.fail((message, error) => {
--- a/src/cli/ctl-main.ts
+++ b/src/cli/ctl-main.ts
@@ -31,9 +31,9 @@
   who: {
     type: 'string',
     default: userInfo().username,
-    describe: 'who publishes, for the audit trail',
+    describe: 'author of the change, for the audit trail',
   },
-  reason: { type: 'string', default: '', describe: 'why, for the audit trail' },
+  reason: { type: 'string', default: '', describe: 'reason for the change, for the audit trail' },
 } as const;
 
 const APPLY_FLAGS = {
@@ -42,12 +42,12 @@
 } as const;
 
 const HISTORY_FLAGS = {
-  limit: { type: 'number', default: 20, describe: 'records to show' },
+  limit: { type: 'number', default: 20, describe: 'number of records to show' },
 } as const;
 
 const STATUS_FLAGS = {
-  router: { type: 'string', describe: 'a router’s operators’ URL' },
-  'operator-secret': { type: 'string', describe: 'operators’ secret' },
+  router: { type: 'string', describe: 'URL of a router’s operator port' },
+  'operator-secret': { type: 'string', describe: 'secret of the operator port' },
 } as const;
 
 let exitCode: ExitCode = EXIT_CODE.Ok;
@@ -56,7 +56,7 @@
   const lines = files.flatMap((file) => readFileSync(file, 'utf8').split('\n'));
   const story = listStory(requestId, lines);
   if (story.length === 0) exitCode = EXIT_CODE.Failed;
-  const nothing = `no line names request ${requestId}; look at lines_left_out and at other instances`;
+  const nothing = `no log line mentions request ${requestId}; check lines_left_out and the logs of other instances`;
   print(isJson, story, story.length === 0 ? nothing : story.join('\n'));
 }
 
@@ -141,7 +141,7 @@
   const names = changes.map((change) => change.name).join(', ');
   const text =
     changes.length === 0
-      ? `nothing to change; version ${version} stays`
+      ? `no changes; version ${version} remains current`
       : `version ${version}: ${names}`;
   print(isJson, { version, changes }, text);
 }
@@ -216,10 +216,13 @@
       ...PLATFORM_FLAGS,
     }),
     examples: [
-      ['$0 validate examples/kelaniya', 'check a folder without the platform'],
+      ['$0 validate examples/kelaniya', 'validate a folder without the platform'],
       ['$0 apply examples/kelaniya --who nimal --reason "new depot"', 'publish a folder'],
-      ['$0 apply folder --only team-a.yaml', 'publish one team’s file and leave the others alone'],
-      ['$0 status --router http://127.0.0.1:9090', 'state of the fleet as one router sees it'],
+      ['$0 apply folder --only team-a.yaml', 'publish one team’s file only'],
+      [
+        '$0 status --router http://127.0.0.1:9090',
+        'show the state of the fleet from one router’s view',
+      ],
     ],
   })
     // Strict parsing also covers environment variables, so every command accepts the flags of all.
@@ -227,13 +230,13 @@
     .options({ ...AUTHOR_FLAGS, ...APPLY_FLAGS })
     .command(
       'validate <folder>',
-      'check a folder of declarations',
+      'validate a folder of declarations',
       (command) => command.positional('folder', { type: 'string', demandOption: true }),
       (args) => runValidate(args.folder, args.json),
     )
     .command(
       'diff <folder>',
-      'compare a folder with what is in force',
+      'compare a folder with the current version',
       (command) =>
         command
           .positional('folder', { type: 'string', demandOption: true })
@@ -268,7 +271,7 @@
     )
     .command(
       'rollback <version>',
-      'publish an earlier version’s files as a new version',
+      'publish the files of an earlier version as a new version',
       (command) =>
         command
           .positional('version', { type: 'number', demandOption: true })
@@ -277,27 +280,27 @@
     )
     .command(
       'history',
-      'the audit trail, newest first',
+      'show the audit trail, newest first',
       (command) => command.demandOption(PLATFORM_FLAG_NAMES),
       (args) => runWithStore(args, (store) => runHistory(store, args.limit, args.json)),
     )
     .command(
       'status',
-      'versions in force, endpoints, who is leaving',
+      'show instances, endpoints and configuration versions',
       (command) => command.demandOption(['router', 'operator-secret']),
       (args) =>
         routerCommands.runStatus({ url: args.router, secret: args.operatorSecret }, args.json),
     )
     .command(
       'quarantine',
-      'requests under which endpoints ended, and how they stand',
+      'list requests on which endpoints crashed, with their quarantine state',
       (command) => command.demandOption(['router', 'operator-secret']),
       (args) =>
         routerCommands.runQuarantine({ url: args.router, secret: args.operatorSecret }, args.json),
     )
     .command(
       'release <content>',
-      'let a quarantined request run again, on all instances; --reason says why',
+      'release a quarantined request on all instances; requires --reason',
       (command) =>
         command
           .positional('content', { type: 'string', demandOption: true })
@@ -311,7 +314,7 @@
     )
     .command(
       'duties [step-down]',
-      'who does the fleet’s work; step-down: that router leaves it to another',
+      'show the holder of the fleet duties; step-down: make the router hand them over',
       (command) =>
         command
           .positional('step-down', { choices: ['step-down'] as const })
@@ -325,20 +328,20 @@
     )
     .command(
       'key',
-      'make a new key for an organisation',
+      'generate a key for an organisation',
       (command) => command,
       (args) => runKey(args.json),
     )
     .command(
       'explain <request> <files..>',
-      'one request’s story from the logs of several instances',
+      'show the history of a request from the logs of several instances',
       (command) =>
         command
           .positional('request', { type: 'string', demandOption: true })
           .positional('files', { type: 'string', array: true, demandOption: true }),
       (args) => runExplain(args.request, args.files, args.json),
     )
-    .demandCommand(1, 'name a command; --help lists them')
+    .demandCommand(1, 'a command is required; see --help')
     .parseAsync();
   return exitCode;
 }
--- a/src/cli/demo-main.ts
+++ b/src/cli/demo-main.ts
@@ -76,7 +76,7 @@
     });
     print(`${name}: ${result.text}`);
     check(
-      `the ${name} class gets the whole answer to its own request`,
+      `the ${name} class gets the complete response to its request`,
       result.isWhole && result.text === buildAnswer(prompt, ANSWER_MAX),
     );
   }
@@ -113,7 +113,7 @@
   const runs = fleet.services.reduce((sum, service) => sum + (service.runs.get(key) ?? 0), 0);
   print(`order confirmation: ${firstText}`);
   check('an order sent twice through two routers ran once', runs === 1);
-  check('the second try gets the first one’s answer', firstText === secondText);
+  check('the repeated request gets the same response', firstText === secondText);
 }
 
 async function checkChange(fleet: EmbeddedFleet, check: Check): Promise<void> {
@@ -121,8 +121,8 @@
   const changed = new Map(fleet.files);
   changed.set('10-classes.yaml', classes.replace('deadlineMs: 60000', 'deadlineMs: 90000'));
   const { version, ms } = await fleet.publish(changed, 'demo operator');
-  print(`version ${version} in force on every router after ${ms.toFixed(0)} ms`);
-  check('a change is in force everywhere', version === 2);
+  print(`version ${version} applied on every router after ${ms.toFixed(0)} ms`);
+  check('a configuration change is applied on every router', version === 2);
 }
 
 async function checkKill(fleet: EmbeddedFleet, client: CompletionClient, check: Check) {
@@ -146,11 +146,11 @@
     },
   });
   print(
-    `killed ${killed ?? 'nothing'} after ${KILL_AFTER_TOKENS} tokens; the caller got: ${result.text}`,
+    `killed ${killed ?? 'nothing'} after ${KILL_AFTER_TOKENS} tokens; the caller received: ${result.text}`,
   );
-  check('an engine was killed in mid-answer', killed !== undefined);
+  check('an engine was killed while it was responding', killed !== undefined);
   check(
-    'the answer is whole all the same',
+    'the response is complete nevertheless',
     result.isWhole && result.text === buildAnswer(prompt, ANSWER_MAX),
   );
 }
@@ -159,7 +159,7 @@
   let misses = 0;
   const check: Check = (what, holds) => {
     if (!holds) misses += 1;
-    print(`${holds ? 'ok  ' : 'MISS'} ${what}`);
+    print(`${holds ? 'ok  ' : 'FAIL'} ${what}`);
   };
   const client = createCompletionClient();
   await checkClasses(fleet, client, check);
@@ -167,7 +167,7 @@
   await checkChange(fleet, check);
   await checkKill(fleet, client, check);
   const breaches = fleet.routers.reduce((sum, r) => sum + r.getStatus().invariantBreaches, 0);
-  check('no invariant was broken', breaches === 0);
+  check('no invariant was violated', breaches === 0);
   await client.close();
   return misses === 0 ? EXIT_CODE.Ok : EXIT_CODE.Failed;
 }
@@ -185,7 +185,7 @@
   for (const router of fleet.routers)
     print(`  ${router.name}: callers ${router.callersUrl}, operators ${router.operatorsUrl}`);
   print('');
-  print('Decisions follow; Ctrl-C ends.');
+  print('Decisions are printed below; press Ctrl-C to stop.');
 }
 
 async function runDemo(): Promise<ExitCode | undefined> {
@@ -195,14 +195,14 @@
     flags: ['once'],
     examples: [
       ['$0', 'run until Ctrl-C'],
-      ['$0 --once', 'show and check everything once'],
+      ['$0 --once', 'run all checks once and exit'],
     ],
   })
     .options({
       once: {
         type: 'boolean',
         default: false,
-        describe: 'send one request of every class, then end',
+        describe: 'run all checks once and exit',
       },
     })
     .parseAsync();
--- a/src/cli/format-output.ts
+++ b/src/cli/format-output.ts
@@ -34,14 +34,14 @@
 }
 
 export function formatCases(cases: readonly ListedCase[]): string {
-  if (cases.length === 0) return 'nothing is held';
+  if (cases.length === 0) return 'no requests in quarantine';
   const rows = cases.map(({ content, standing, crashes, lastCrashAgoMs }) => [
     content,
     standing,
     `${crashes} endpoints`,
     `${Math.round(lastCrashAgoMs / 1000)} s ago`,
   ]);
-  return formatTable([['content', 'standing', 'ended under it', 'last'], ...rows]);
+  return formatTable([['content', 'state', 'crashed', 'last crash'], ...rows]);
 }
 
 /** Formats the lines that differ, by file. */
@@ -57,7 +57,7 @@
     const title = `${change.after === undefined ? 'removed' : state} ${change.name}`;
     return [title, ...formatLines(before.get(change.name) ?? '', after.get(change.name) ?? '')];
   });
-  return [`against version ${version}:`, ...lines].join('\n');
+  return [`changes since version ${version}:`, ...lines].join('\n');
 }
 
 export function formatHistory(records: readonly AuditRecord[]): string {
@@ -96,7 +96,7 @@
     formatTable([['instance', 'data centre', 'state', 'version'], ...members]),
     '',
     endpoints.length === 0
-      ? 'this router owns no shard now'
+      ? 'this router owns no shards'
       : formatTable([['endpoint', 'shard', 'status', 'slots', 'step'], ...endpoints]),
     '',
     `leaving endpoints: ${status.leavingEndpoints.join(', ') || 'none'}`,
@@ -106,15 +106,17 @@
 
 /** Formats the holder of the fleet duties and, if it is this router, the requested scale of each pool. */
 export function formatDuties(duties: DutyStatus | null): string {
-  if (duties === null) return 'the platform asks for no duties; nothing to do';
+  if (duties === null) return 'the platform does not use fleet duties';
   const { holder, fence, isOwn, ageMs, unsentWindows, desired } = duties;
-  if (holder === undefined) return 'no holder is known yet; ask again in a few seconds';
-  const since = `since ${Math.round(ageMs / 1000)} s`;
-  const lines = [`holder ${holder}${isOwn ? ' (this router)' : ''}, number ${fence}, ${since}`];
-  if (!isOwn) return [...lines, 'ask the holder for what is reported and ordered'].join('\n');
+  if (holder === undefined) return 'the holder is not known yet; try again in a few seconds';
+  const since = `held for ${Math.round(ageMs / 1000)} s`;
+  const lines = [
+    `holder ${holder}${isOwn ? ' (this router)' : ''}, fencing token ${fence}, ${since}`,
+  ];
+  if (!isOwn) return [...lines, 'query the holder for its reports and scale requests'].join('\n');
   const orders = desired.map(
     ({ pool, dataCentre, isSpot, count }) =>
-      `${pool} in ${dataCentre}: ${count} ${isSpot ? 'that may be taken back' : 'lasting'}`,
+      `${pool} in ${dataCentre}: ${count} ${isSpot ? 'spot' : 'on-demand'}`,
   );
-  return [...lines, `windows of usage not taken yet: ${unsentWindows}`, ...orders].join('\n');
+  return [...lines, `usage windows not yet accepted: ${unsentWindows}`, ...orders].join('\n');
 }
--- a/src/cli/load-main.ts
+++ b/src/cli/load-main.ts
@@ -17,16 +17,16 @@
     type: 'string',
     array: true,
     demandOption: true,
-    describe: 'callers’ URLs of routers, on loopback',
+    describe: 'loopback URLs of the routers’ caller ports',
   },
-  key: { type: 'string', demandOption: true, describe: 'an organisation’s key' },
-  model: { type: 'string', default: 'assistant', describe: 'model to ask' },
-  mix: { type: 'string', default: 'counter=1', describe: 'classes and their shares' },
-  rate: { type: 'number', default: 10, describe: 'requests a second' },
-  seconds: { type: 'number', default: 10, describe: 'how long to send' },
-  seed: { type: 'number', default: 1, describe: 'seed of the arrivals' },
-  'first-token-ms': { type: 'number', default: 1400, describe: 'target for the first token' },
-  'between-tokens-ms': { type: 'number', default: 76, describe: 'target between tokens' },
+  key: { type: 'string', demandOption: true, describe: 'key of an organisation' },
+  model: { type: 'string', default: 'assistant', describe: 'model to request' },
+  mix: { type: 'string', default: 'counter=1', describe: 'request classes with their shares' },
+  rate: { type: 'number', default: 10, describe: 'requests per second' },
+  seconds: { type: 'number', default: 10, describe: 'duration in seconds' },
+  seed: { type: 'number', default: 1, describe: 'seed for the arrival times' },
+  'first-token-ms': { type: 'number', default: 1400, describe: 'target time to first token' },
+  'between-tokens-ms': { type: 'number', default: 76, describe: 'target time between tokens' },
   json: { type: 'boolean', default: false, describe: 'print JSON' },
 } as const;
 
@@ -38,7 +38,7 @@
   const head = [
     'class',
     'requests',
-    'whole',
+    'complete',
     'attained %',
     'first token p50/p95 ms',
     'between tokens p95 ms',
@@ -72,7 +72,7 @@
     examples: [
       [
         '$0 --url http://127.0.0.1:8081 --key KEY --mix counter=0.7,history=0.3 --rate 20',
-        'twenty requests a second for ten seconds',
+        'send twenty requests per second for ten seconds',
       ],
     ],
   })
@@ -80,7 +80,7 @@
     .parseAsync();
   const urls = args.url as readonly string[];
   const stray = urls.find((url) => !LOOPBACK.test(url));
-  if (stray !== undefined) throw new Error(`--url ${stray}: loads go to loopback addresses only`);
+  if (stray !== undefined) throw new Error(`--url ${stray}: only loopback addresses are allowed`);
   const plan = buildLoadPlan({
     mix: parseMix(args.mix),
     rate: args.rate,
--- a/src/cli/platform-flags.ts
+++ b/src/cli/platform-flags.ts
@@ -20,7 +20,7 @@
   },
   'platform-secret-access-key': {
     type: 'string',
-    describe: 'secret of that access key',
+    describe: 'secret for the access key',
   },
 } as const;
 
--- a/src/cli/query-router.ts
+++ b/src/cli/query-router.ts
@@ -32,10 +32,14 @@
     });
     const text = await response.body.text();
     if (response.statusCode === STATUS_OK) return { kind: 'answered', body: JSON.parse(text) };
-    process.stderr.write(`${name}: the router answered ${response.statusCode}: ${text}\n`);
+    process.stderr.write(
+      `${name}: the router responded with status ${response.statusCode}: ${text}\n`,
+    );
     return { kind: 'failed', exitCode: EXIT_CODE.Failed };
   } catch {
-    process.stderr.write(`${name}: ${url} did not answer; check --router and that it runs\n`);
+    process.stderr.write(
+      `${name}: no response from ${url}; check --router and whether the router is running\n`,
+    );
     return { kind: 'failed', exitCode: EXIT_CODE.Unavailable };
   }
 }
--- a/src/cli/router-main.ts
+++ b/src/cli/router-main.ts
@@ -12,7 +12,7 @@
   name: {
     type: 'string',
     demandOption: true,
-    describe: 'name of this instance, its own in the fleet',
+    describe: 'unique name of this instance',
   },
   'data-centre': { type: 'string', demandOption: true, describe: 'data centre of this instance' },
   callers: { type: 'string', default: ROUTER_DEFAULTS.callers, describe: 'HOST:PORT for callers' },
@@ -36,7 +36,7 @@
     demandOption: true,
     describe: 'token of the platform’s instance list',
   },
-  'peer-secret': { type: 'string', demandOption: true, describe: 'secret that all routers share' },
+  'peer-secret': { type: 'string', demandOption: true, describe: 'secret shared by all routers' },
   'operator-secret': {
     type: 'string',
     demandOption: true,
@@ -46,33 +46,33 @@
     type: 'string',
     array: true,
     default: [...ROUTER_DEFAULTS.seeds],
-    describe: 'HOST:PORT of peers to ask when the platform cannot be reached',
+    describe: 'HOST:PORT of peers to contact when the platform cannot be reached',
   },
   'log-level': {
     choices: [...LOG_LEVELS],
     default: ROUTER_DEFAULTS.logLevel,
-    describe: 'least level that is logged',
+    describe: 'minimum level of logged messages',
   },
-  'statsd-host': { type: 'string', describe: 'host for metrics; none are sent without it' },
+  'statsd-host': { type: 'string', describe: 'StatsD host; no metrics are sent without it' },
   'statsd-port': {
     type: 'number',
     default: ROUTER_DEFAULTS.statsdPort,
-    describe: 'port for metrics',
+    describe: 'StatsD port',
   },
   'claim-writes-per-second': {
     type: 'number',
     default: ROUTER_DEFAULTS.claimWritesPerSecond,
-    describe: 'this instance’s part of the platform’s writes, for once-only requests',
+    describe: 'rate limit of this instance for the platform writes of non-repeatable requests',
   },
   'drain-timeout-ms': {
     type: 'number',
     default: ROUTER_DEFAULTS.drainTimeoutMs,
-    describe: 'longest wait for requests in flight when leaving',
+    describe: 'maximum wait for requests in flight when leaving',
   },
   'max-body-bytes': {
     type: 'number',
     default: ROUTER_DEFAULTS.maxBodyBytes,
-    describe: 'largest body a caller may send',
+    describe: 'maximum size of a request body',
   },
 } as const;
 
@@ -84,7 +84,7 @@
     examples: [
       [
         '$0 --name entry-1 --data-centre peliyagoda --callers 0.0.0.0:8080 …',
-        'start an instance (README.md has a whole line)',
+        'start an instance (see README.md for a complete command)',
       ],
     ],
   })
--- a/src/cli/standin-main.ts
+++ b/src/cli/standin-main.ts
@@ -9,19 +9,27 @@
 const NAME = 'hyssoptally-standin';
 
 const PORT_FLAG = {
-  port: { type: 'number', default: 0, describe: 'port to listen on; 0 lets the system choose' },
+  port: { type: 'number', default: 0, describe: 'port to listen on; 0 for any free port' },
 } as const;
 
 const PLATFORM_STANDIN_FLAGS = {
-  'list-lag-ms': { type: 'number', default: 2000, describe: 'age of the instance list' },
+  'list-lag-ms': {
+    type: 'number',
+    default: 2000,
+    describe: 'delay before a change appears in the instance list',
+  },
 } as const;
 
 const ENGINE_FLAGS = {
   name: { type: 'string', default: 'engine', describe: 'name of the engine' },
-  'step-ms': { type: 'number', default: 30, describe: 'time of one step' },
-  slots: { type: 'number', default: 8, describe: 'requests in one batch' },
-  models: { type: 'string', array: true, default: [], describe: 'models loaded' },
-  fencing: { type: 'boolean', default: true, describe: 'refuse orders with an old number' },
+  'step-ms': { type: 'number', default: 30, describe: 'duration of one step' },
+  slots: { type: 'number', default: 8, describe: 'maximum number of requests in a batch' },
+  models: { type: 'string', array: true, default: [], describe: 'models loaded at start' },
+  fencing: {
+    type: 'boolean',
+    default: true,
+    describe: 'refuse orders with an outdated fencing token',
+  },
 } as const;
 
 const SERVICE_FLAGS = {
@@ -85,13 +93,13 @@
     )
     .command(
       'service',
-      'a plain service that counts what it ran',
+      'a plain service that counts the requests it ran',
       (command) => command.options(PORT_FLAG).options(SERVICE_FLAGS),
       async (args) => {
         printListening('service', await startServiceStandin(args.name, args.port));
       },
     )
-    .demandCommand(1, 'name a stand-in: platform, engine or service')
+    .demandCommand(1, 'a stand-in is required: platform, engine or service')
     .parseAsync();
 }
 
--- a/src/configuration/configuration.test.ts
+++ b/src/configuration/configuration.test.ts
@@ -85,7 +85,7 @@
 describe('publishing', ({ it }) => {
   const first = { '00.yaml': BASE, 'a.yaml': buildTeam('a', 1), 'b.yaml': buildTeam('b', 1) };
 
-  it('recognises its own write after a lost answer', async (t) => {
+  it('recognises its own write when the response is lost', async (t) => {
     // Guards against a change that is recorded twice because the response to the first write was lost.
     const { store, audit } = createFakeStore((tries) => (tries === 1 ? 'lost' : 'fine'));
     const published = await publishFiles(store, buildRequest(first));
@@ -93,7 +93,7 @@
     t.is(audit.length, 1);
   });
 
-  it('recognises its own write under another operator’s later one', async (t) => {
+  it('recognises its own write after a later one by another operator', async (t) => {
     // Guards against reporting a conflict for a change that took effect: its response was lost, and
     // another operator changed the same file before it was read back.
     const { store, audit } = createFakeStore((tries) => (tries === 2 ? 'lost' : 'fine'));
@@ -118,13 +118,13 @@
     );
   });
 
-  it('sends a write again that never arrived', async (t) => {
+  it('retries a write that never arrived', async (t) => {
     const { store, audit } = createFakeStore((tries) => (tries === 1 ? 'unsent' : 'fine'));
     t.true((await publishFiles(store, buildRequest(first))).ok);
     t.is(audit.length, 1);
   });
 
-  it('merges with an operator who changed another file meanwhile', async (t) => {
+  it('merges concurrent changes of different files', async (t) => {
     // Guards against a conflict between concurrent publications that change different files.
     const { store, audit } = createFakeStore();
     await publishFiles(store, buildRequest(first));
@@ -139,7 +139,7 @@
     t.is(merged.val.declarations.organisations.get('b')?.weight, 3);
   });
 
-  it('names who changed the same file, when, and what to do', async (t) => {
+  it('reports author, time and remedy of a conflicting change', async (t) => {
     const { store } = createFakeStore();
     await publishFiles(store, buildRequest(first));
     const theirs = { ...first, 'a.yaml': buildTeam('a', 2) };
@@ -151,7 +151,7 @@
     t.snapshot(formatPublishError(refused.val));
   });
 
-  it('leaves files alone that a team does not name', async (t) => {
+  it('changes only the files that are named', async (t) => {
     const { store } = createFakeStore();
     await publishFiles(store, buildRequest(first));
     const own = { 'a.yaml': buildTeam('a', 4) };
@@ -161,7 +161,7 @@
 });
 
 describe('declarations', ({ it }) => {
-  it('are refused with file, line and remedy', (t) => {
+  it('are rejected with file, line and remedy', (t) => {
     const files = new Map([
       ['00.yaml', BASE],
       ['a.yaml', buildTeam('a', 1)],
@@ -179,8 +179,8 @@
   });
 });
 
-describe('the configuration in force', ({ it }) => {
-  it('never goes back, whatever is announced and fetched in whatever order', (t) => {
+describe('current configuration', ({ it }) => {
+  it('never reverts to an older version', (t) => {
     // Guards against applying an older version from a stale read or a partitioned peer, which could
     // restore access that was revoked.
     const property = fc.property(
@@ -210,7 +210,7 @@
     t.notThrows(() => fc.assert(property, { seed: 5, numRuns: 500 }));
   });
 
-  it('refuses a text that is not what its hash says', (t) => {
+  it('rejects a file that does not match its hash', (t) => {
     const keeper = createConfigurationKeeper(createInvariants(() => undefined));
     const manifest = encodeManifest(buildManifest(new Map([['00.yaml', BASE]])));
     const texts = new Map([[hashText(BASE), `${BASE}# forged`]]);
--- a/src/configuration/keeper.ts
+++ b/src/configuration/keeper.ts
@@ -102,7 +102,10 @@
     for (const { name, hash } of manifest.files) {
       const text = texts.get(hash) ?? message.texts.get(hash);
       if (text === undefined || hashText(text) !== hash) {
-        refuseVersion(message.version, `${name} came without its text; it is fetched again`);
+        refuseVersion(
+          message.version,
+          `content of ${name} is missing or does not match its hash; waiting for another announcement`,
+        );
         return;
       }
       files.set(name, text);
--- a/src/configuration/merge-files.ts
+++ b/src/configuration/merge-files.ts
@@ -76,7 +76,7 @@
         const owner = owners.get(key);
         owners.set(key, name);
         if (owner !== undefined) {
-          const message = `a key of ${name} also names ${owner}; make a new one with hyssoptally-ctl key`;
+          const message = `a key of ${name} is already declared for ${owner}; create a new one with hyssoptally-ctl key`;
           errors.push(createError([file, ['organisations', name, 'keys']], message));
         }
       }
@@ -109,7 +109,7 @@
     for (const [name, declaration] of Object.entries(file.content.classes)) {
       sum += declaration.floor;
       if (sum > FLOOR_SUM_MAX) {
-        const message = `floors sum to ${sum.toFixed(2)}, more than ${FLOOR_SUM_MAX}; lower some`;
+        const message = `class floors add up to ${sum.toFixed(2)}, more than ${FLOOR_SUM_MAX}; lower some of them`;
         return [createError([file, ['classes', name, 'floor']], message)];
       }
     }
--- a/src/configuration/publish.ts
+++ b/src/configuration/publish.ts
@@ -64,15 +64,15 @@
     case 'conflict':
       return (
         `${error.file} was changed by ${error.who} at ${new Date(error.atMs).toISOString()} ` +
-        `(version ${error.version}); look at hyssoptally-ctl diff, merge the file by hand, and ` +
+        `(version ${error.version}); run hyssoptally-ctl diff, merge the file by hand, and ` +
         `apply again with --base ${error.version}`
       );
     case 'unknown_base':
       return `version ${error.version} was never published; see hyssoptally-ctl history`;
     case 'raced':
-      return `others published ${error.rounds} times meanwhile; apply again`;
+      return `gave up after ${error.rounds} concurrent publications by others; apply again`;
     case 'uncertain':
-      return `the platform did not answer and publication ${error.publishId} may be in force; see hyssoptally-ctl history before applying again`;
+      return `no response from the platform; publication ${error.publishId} may have taken effect: check hyssoptally-ctl history before applying again`;
     default:
       return error.error.message;
   }
--- a/src/configuration/store.ts
+++ b/src/configuration/store.ts
@@ -81,7 +81,7 @@
       return Err(
         createPlatformError(
           PLATFORM_FAILURE.Rejected,
-          `object ${hash.slice(0, 12)} is missing or damaged; apply the folder again`,
+          `object ${hash.slice(0, 12)} is missing or corrupt; apply the folder again`,
         ),
       );
     },
--- a/src/storage/instance-list-client.ts
+++ b/src/storage/instance-list-client.ts
@@ -41,14 +41,14 @@
       return Err(
         createPlatformError(
           PLATFORM_FAILURE.Rejected,
-          `the instance list answered ${response.statusCode}; check the platform token`,
+          `the instance list responded with status ${response.statusCode}; check the platform token`,
         ),
       );
     } catch {
       return Err(
         createPlatformError(
           PLATFORM_FAILURE.Ambiguous,
-          `the instance list at ${url} did not answer; peers found earlier stay in use`,
+          `no response from the instance list at ${url}; continuing with the known peers`,
         ),
       );
     }
@@ -63,7 +63,7 @@
       return Err(
         createPlatformError(
           PLATFORM_FAILURE.Rejected,
-          `the instance list is malformed (${parsed.error.issues[0]?.message ?? ''}); check its version`,
+          `the instance list is malformed (${parsed.error.issues[0]?.message ?? ''}); check the platform version`,
         ),
       );
     },
--- a/src/storage/object-client.ts
+++ b/src/storage/object-client.ts
@@ -15,7 +15,7 @@
   const createRejection = (verb: string, status: number): PlatformError =>
     createPlatformError(
       PLATFORM_FAILURE.Rejected,
-      `${verb}: the object store answered ${status}; try again later`,
+      `${verb}: the object store responded with status ${status}; try again later`,
     );
   return {
     async get(name) {
--- a/src/storage/signed-client.ts
+++ b/src/storage/signed-client.ts
@@ -84,7 +84,7 @@
         return Err(
           createPlatformError(
             isUnsent ? PLATFORM_FAILURE.Rejected : PLATFORM_FAILURE.Ambiguous,
-            `${options.service} at ${options.url} did not answer (${code}); check the platform, then try again`,
+            `no response from ${options.service} at ${options.url} (${code}); check the platform, then try again`,
           ),
         );
       }
--- a/src/storage/table-client.ts
+++ b/src/storage/table-client.ts
@@ -105,14 +105,14 @@
       return Err(
         createPlatformError(
           PLATFORM_FAILURE.Conflict,
-          `${operation}: the item changed meanwhile; read it again and decide anew`,
+          `${operation}: an item was changed concurrently; read it again and retry`,
         ),
       );
     }
     return Err(
       createPlatformError(
         PLATFORM_FAILURE.Rejected,
-        `${operation}: the table service answered ${status}; try again later`,
+        `${operation}: the table service responded with status ${status}; try again later`,
       ),
     );
   }
