--- a/src/cli/command-line.ts
+++ b/src/cli/command-line.ts
@@ -17,7 +17,7 @@
 export type ExitCode = (typeof EXIT_CODE)[keyof typeof EXIT_CODE];
 
 /** Maximum edit distance between an unknown flag and a suggested one. */
-const SUGGESTION_DISTANCE = 4;
+const SUGGESTION_DISTANCE_MAX = 4;
 
 export type FlagSet = Readonly<Record<string, Options>>;
 
@@ -35,10 +35,10 @@
     .map((flag) => ({ flag, distance: leven(unknown, flag) }))
     .sort((a, b) => a.distance - b.distance);
   const [best] = ranked;
-  return best !== undefined && best.distance <= SUGGESTION_DISTANCE ? best.flag : undefined;
+  return best !== undefined && best.distance <= SUGGESTION_DISTANCE_MAX ? best.flag : undefined;
 }
 
-function formatUnknown(message: string, known: readonly string[]): string {
+function formatUnknownFlag(message: string, known: readonly string[]): string {
   const unknown = /Unknown arguments?: (.+)/.exec(message)?.[1]?.split(', ')[0];
   if (unknown === undefined) return message;
   const nearest = findNearest(unknown, known);
@@ -62,7 +62,7 @@
   for (const [command, description] of options.examples) parser.example(command, description);
   parser.fail((message, error) => {
     const text = message === null || message === undefined ? String(error?.message) : message;
-    process.stderr.write(`${options.name}: ${formatUnknown(text, options.flags)}\n`);
+    process.stderr.write(`${options.name}: ${formatUnknownFlag(text, options.flags)}\n`);
     process.exit(EXIT_CODE.Usage);
   });
   return parser;
--- a/src/cli/ctl-main.ts
+++ b/src/cli/ctl-main.ts
@@ -16,7 +16,7 @@
 import { EXIT_CODE, createCommandLine, listArguments, runMain } from './command-line.js';
 import type { ExitCode } from './command-line.js';
 import { formatChanges, formatHistory } from './format-output.js';
-import { PLATFORM_FLAGS, PLATFORM_FLAG_NAMES, createOpenStore } from './platform-flags.js';
+import { PLATFORM_FLAGS, PLATFORM_FLAG_NAMES, openConfigurationStore } from './platform-flags.js';
 import type { PlatformArguments } from './platform-flags.js';
 import { createRouterCommands } from './router-commands.js';
 
@@ -54,10 +54,10 @@
 
 function runExplain(requestId: string, files: readonly string[], isJson: boolean): void {
   const lines = files.flatMap((file) => readFileSync(file, 'utf8').split('\n'));
-  const story = listStory(requestId, lines);
-  if (story.length === 0) exitCode = EXIT_CODE.Failed;
-  const nothing = `no log line mentions request ${requestId}; check lines_left_out and the logs of other instances`;
-  print(isJson, story, story.length === 0 ? nothing : story.join('\n'));
+  const history = listStory(requestId, lines);
+  if (history.length === 0) exitCode = EXIT_CODE.Failed;
+  const notFoundMessage = `no log line mentions request ${requestId}; check lines_left_out and the logs of other instances`;
+  print(isJson, history, history.length === 0 ? notFoundMessage : history.join('\n'));
 }
 
 function print(isJson: boolean, value: unknown, text: string): void {
@@ -86,11 +86,11 @@
   args: PlatformArguments,
   run: (store: ConfigurationStore) => Promise<void>,
 ): Promise<void> {
-  const open = createOpenStore(args);
+  const connection = openConfigurationStore(args);
   try {
-    await run(open.store);
+    await run(connection.store);
   } finally {
-    await open.close();
+    await connection.close();
   }
 }
 
@@ -129,10 +129,10 @@
 
 async function runPublish(
   store: ConfigurationStore,
-  request_: PublishRequest,
+  publishRequest: PublishRequest,
   isJson: boolean,
 ): Promise<void> {
-  const published = await publishFiles(store, request_);
+  const published = await publishFiles(store, publishRequest);
   if (published.err) {
     printError(isJson, published.val);
     return;
--- a/src/cli/demo-main.ts
+++ b/src/cli/demo-main.ts
@@ -15,7 +15,7 @@
 const NAME = 'hyssoptally-demo';
 const MODEL = 'assistant';
 const KEY = 'demo-key-of-the-depots';
-const ANSWER_MAX = 400;
+const RESPONSE_TOKENS_MAX = 400;
 const KILL_AFTER_TOKENS = 8;
 
 const DEMO_CLASSES: readonly ClassDeclaration[] = [
@@ -46,7 +46,7 @@
 ];
 
 /** Records the result of one check. */
-type Check = (what: string, holds: boolean) => void;
+type RecordCheck = (description: string, isPassed: boolean) => void;
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
@@ -62,7 +62,7 @@
   return fleet.routers[index % fleet.routers.length]?.callersUrl ?? '';
 }
 
-async function checkClasses(fleet: EmbeddedFleet, client: CompletionClient, check: Check) {
+async function checkClasses(fleet: EmbeddedFleet, client: CompletionClient, check: RecordCheck) {
   for (const [index, { name }] of DEMO_CLASSES.entries()) {
     const prompt = `a question for class ${name} [length:${10 + index * 5}]`;
     // Sequential, so that the printed responses do not interleave.
@@ -77,12 +77,12 @@
     print(`${name}: ${result.text}`);
     check(
       `the ${name} class gets the complete response to its request`,
-      result.isWhole && result.text === buildAnswer(prompt, ANSWER_MAX),
+      result.isWhole && result.text === buildAnswer(prompt, RESPONSE_TOKENS_MAX),
     );
   }
 }
 
-async function checkService(fleet: EmbeddedFleet, check: Check): Promise<void> {
+async function checkService(fleet: EmbeddedFleet, check: RecordCheck): Promise<void> {
   const key = randomUUID();
   const send = (index: number) =>
     request(`${getUrl(fleet, index)}/services/${SERVICE_POOL}/orders`, {
@@ -116,7 +116,7 @@
   check('the repeated request gets the same response', firstText === secondText);
 }
 
-async function checkChange(fleet: EmbeddedFleet, check: Check): Promise<void> {
+async function checkConfigurationChange(fleet: EmbeddedFleet, check: RecordCheck): Promise<void> {
   const classes = fleet.files.get('10-classes.yaml') ?? '';
   const changed = new Map(fleet.files);
   changed.set('10-classes.yaml', classes.replace('deadlineMs: 60000', 'deadlineMs: 90000'));
@@ -125,7 +125,11 @@
   check('a configuration change is applied on every router', version === 2);
 }
 
-async function checkKill(fleet: EmbeddedFleet, client: CompletionClient, check: Check) {
+async function checkEngineFailure(
+  fleet: EmbeddedFleet,
+  client: CompletionClient,
+  check: RecordCheck,
+) {
   const prompt = 'a long history, whose engine dies [length:60]';
   let tokens = 0;
   let killed: string | undefined;
@@ -138,11 +142,11 @@
     onText() {
       tokens += 1;
       if (tokens !== KILL_AFTER_TOKENS) return;
-      const busy = fleet.engines.find(
+      const busyEngine = fleet.engines.find(
         (engine) => engine.counts.started.size > engine.counts.completed,
       );
-      killed = busy?.name;
-      busy?.close().catch(() => undefined);
+      killed = busyEngine?.name;
+      busyEngine?.close().catch(() => undefined);
     },
   });
   print(
@@ -151,25 +155,25 @@
   check('an engine was killed while it was responding', killed !== undefined);
   check(
     'the response is complete nevertheless',
-    result.isWhole && result.text === buildAnswer(prompt, ANSWER_MAX),
+    result.isWhole && result.text === buildAnswer(prompt, RESPONSE_TOKENS_MAX),
   );
 }
 
 async function runOnce(fleet: EmbeddedFleet): Promise<ExitCode> {
-  let misses = 0;
-  const check: Check = (what, holds) => {
-    if (!holds) misses += 1;
-    print(`${holds ? 'ok  ' : 'FAIL'} ${what}`);
+  let failureCount = 0;
+  const check: RecordCheck = (description, isPassed) => {
+    if (!isPassed) failureCount += 1;
+    print(`${isPassed ? 'ok  ' : 'FAIL'} ${description}`);
   };
   const client = createCompletionClient();
   await checkClasses(fleet, client, check);
   await checkService(fleet, check);
-  await checkChange(fleet, check);
-  await checkKill(fleet, client, check);
+  await checkConfigurationChange(fleet, check);
+  await checkEngineFailure(fleet, client, check);
   const breaches = fleet.routers.reduce((sum, r) => sum + r.getStatus().invariantBreaches, 0);
   check('no invariant was violated', breaches === 0);
   await client.close();
-  return misses === 0 ? EXIT_CODE.Ok : EXIT_CODE.Failed;
+  return failureCount === 0 ? EXIT_CODE.Ok : EXIT_CODE.Failed;
 }
 
 function printUsage(fleet: EmbeddedFleet): void {
--- a/src/cli/format-output.ts
+++ b/src/cli/format-output.ts
@@ -5,7 +5,7 @@
 import type { ListedCase } from '../quarantine/quarantine-api.js';
 import type { RouterStatus } from '../types/router-status.js';
 
-const HASH_SHOWN = 8;
+const SHORT_HASH_LENGTH = 8;
 
 /** Formats rows as aligned columns. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
@@ -25,15 +25,15 @@
     .join('\n');
 }
 
-function formatLines(before: string, after: string): string[] {
-  const old = new Set(before.split('\n'));
-  const fresh = new Set(after.split('\n'));
-  const removed = before.split('\n').filter((line) => !fresh.has(line));
-  const added = after.split('\n').filter((line) => !old.has(line));
+function formatLineDiff(before: string, after: string): string[] {
+  const beforeLines = new Set(before.split('\n'));
+  const afterLines = new Set(after.split('\n'));
+  const removed = before.split('\n').filter((line) => !afterLines.has(line));
+  const added = after.split('\n').filter((line) => !beforeLines.has(line));
   return [...removed.map((line) => `  - ${line}`), ...added.map((line) => `  + ${line}`)];
 }
 
-export function formatCases(cases: readonly ListedCase[]): string {
+export function formatQuarantine(cases: readonly ListedCase[]): string {
   if (cases.length === 0) return 'no requests in quarantine';
   const rows = cases.map(({ content, standing, crashes, lastCrashAgoMs }) => [
     content,
@@ -55,7 +55,7 @@
   const lines = changes.flatMap((change) => {
     const state = change.before === undefined ? 'new' : 'changed';
     const title = `${change.after === undefined ? 'removed' : state} ${change.name}`;
-    return [title, ...formatLines(before.get(change.name) ?? '', after.get(change.name) ?? '')];
+    return [title, ...formatLineDiff(before.get(change.name) ?? '', after.get(change.name) ?? '')];
   });
   return [`changes since version ${version}:`, ...lines].join('\n');
 }
@@ -67,7 +67,7 @@
       new Date(record.atMs).toISOString(),
       record.who,
       change.name,
-      `${change.before?.slice(0, HASH_SHOWN) ?? '(new)'} -> ${change.after?.slice(0, HASH_SHOWN) ?? '(removed)'}`,
+      `${change.before?.slice(0, SHORT_HASH_LENGTH) ?? '(new)'} -> ${change.after?.slice(0, SHORT_HASH_LENGTH) ?? '(removed)'}`,
       record.reason,
     ]),
   );
--- a/src/cli/load-main.ts
+++ b/src/cli/load-main.ts
@@ -10,7 +10,7 @@
 
 const NAME = 'hyssoptally-load';
 /** Only loopback URLs are accepted, to keep load off systems of others. */
-const LOOPBACK = /^http:\/\/(127\.\d+\.\d+\.\d+|localhost|\[::1\])(:\d+)?$/;
+const LOOPBACK_URL = /^http:\/\/(127\.\d+\.\d+\.\d+|localhost|\[::1\])(:\d+)?$/;
 
 const LOAD_FLAGS = {
   url: {
@@ -35,7 +35,7 @@
 }
 
 function formatReport(classes: readonly ClassReport[]): string {
-  const head = [
+  const header = [
     'class',
     'requests',
     'complete',
@@ -61,7 +61,7 @@
     String(report.mayHaveRun),
     String(report.incomplete),
   ]);
-  return formatTable([head, ...rows]);
+  return formatTable([header, ...rows]);
 }
 
 async function runLoad(): Promise<ExitCode> {
@@ -79,8 +79,9 @@
     .options(LOAD_FLAGS)
     .parseAsync();
   const urls = args.url as readonly string[];
-  const stray = urls.find((url) => !LOOPBACK.test(url));
-  if (stray !== undefined) throw new Error(`--url ${stray}: only loopback addresses are allowed`);
+  const rejectedUrl = urls.find((url) => !LOOPBACK_URL.test(url));
+  if (rejectedUrl !== undefined)
+    throw new Error(`--url ${rejectedUrl}: only loopback addresses are allowed`);
   const plan = buildLoadPlan({
     mix: parseMix(args.mix),
     rate: args.rate,
@@ -92,11 +93,11 @@
   const startedMs = performance.now();
   const pending: Promise<LoadObservation>[] = [];
   for (const { atMs, className, prompt, target } of plan) {
-    const dueInMs = startedMs + atMs - performance.now();
-    if (dueInMs > 1) {
+    const delayMs = startedMs + atMs - performance.now();
+    if (delayMs > 1) {
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
-        setTimeout(resolve, dueInMs);
+        setTimeout(resolve, delayMs);
       });
     }
     const call = { url: urls[target] ?? '', key: args.key, model: args.model, prompt, className };
--- a/src/cli/platform-flags.ts
+++ b/src/cli/platform-flags.ts
@@ -39,12 +39,12 @@
   readonly platformSecretAccessKey: string;
 }
 
-export interface OpenStore {
+export interface StoreConnection {
   readonly store: ConfigurationStore;
   close(): Promise<void>;
 }
 
-export function createOpenStore(args: PlatformArguments): OpenStore {
+export function openConfigurationStore(args: PlatformArguments): StoreConnection {
   const credentials = {
     accessKeyId: args.platformAccessKeyId,
     secretAccessKey: args.platformSecretAccessKey,
--- a/src/cli/query-router.ts
+++ b/src/cli/query-router.ts
@@ -3,10 +3,10 @@
 import { EXIT_CODE } from './command-line.js';
 import type { ExitCode } from './command-line.js';
 
-const ANSWER_TIMEOUT_MS = 5000;
+const RESPONSE_TIMEOUT_MS = 5000;
 const STATUS_OK = 200;
 
-export interface RouterQuestion {
+export interface RouterRequest {
   /** Name of the program, for error messages. */
   readonly name: string;
   readonly url: string;
@@ -16,19 +16,19 @@
   readonly body?: object;
 }
 
-export type RouterAnswer =
+export type RouterResponse =
   | { readonly kind: 'answered'; readonly body: unknown }
   | { readonly kind: 'failed'; readonly exitCode: ExitCode };
 
 /** Sends one request; prints errors to standard error. */
-export async function queryRouter(question: RouterQuestion): Promise<RouterAnswer> {
-  const { name, url, path, secret, body } = question;
+export async function queryRouter(routerRequest: RouterRequest): Promise<RouterResponse> {
+  const { name, url, path, secret, body } = routerRequest;
   try {
     const response = await request(`${url}${path}`, {
       method: body === undefined ? 'GET' : 'POST',
       headers: { authorization: `Bearer ${secret}`, 'content-type': 'application/json' },
       body: body === undefined ? null : JSON.stringify(body),
-      signal: AbortSignal.timeout(ANSWER_TIMEOUT_MS),
+      signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS),
     });
     const text = await response.body.text();
     if (response.statusCode === STATUS_OK) return { kind: 'answered', body: JSON.parse(text) };
--- a/src/cli/router-commands.ts
+++ b/src/cli/router-commands.ts
@@ -3,7 +3,7 @@
 import type { ListedCase } from '../quarantine/quarantine-api.js';
 import type { RouterStatus } from '../types/router-status.js';
 import type { ExitCode } from './command-line.js';
-import { formatCases, formatDuties, formatStatus } from './format-output.js';
+import { formatQuarantine, formatDuties, formatStatus } from './format-output.js';
 import { queryRouter } from './query-router.js';
 
 /** URL and secret of a router's operator port. */
@@ -36,42 +36,42 @@
 export function createRouterCommands(options: RouterCommandsOptions): RouterCommands {
   const { name, print, onFailed } = options;
 
-  async function runQuestion<T>(
-    question: RouterAddress & { readonly path: string; readonly body?: object },
+  async function runRequest<T>(
+    request: RouterAddress & { readonly path: string; readonly body?: object },
     isJson: boolean,
     format: (body: T) => string,
   ): Promise<void> {
-    const answer = await queryRouter({ ...question, name });
-    if (answer.kind === 'failed') {
-      onFailed(answer.exitCode);
+    const response = await queryRouter({ ...request, name });
+    if (response.kind === 'failed') {
+      onFailed(response.exitCode);
       return;
     }
-    const body = answer.body as T;
+    const body = response.body as T;
     print(isJson, body, format(body));
   }
 
   return {
     runStatus: (router, isJson) =>
-      runQuestion<RouterStatus>({ ...router, path: '/status' }, isJson, formatStatus),
+      runRequest<RouterStatus>({ ...router, path: '/status' }, isJson, formatStatus),
     runQuarantine: (router, isJson) =>
-      runQuestion<{ readonly cases: readonly ListedCase[] }>(
+      runRequest<{ readonly cases: readonly ListedCase[] }>(
         { ...router, path: '/quarantine' },
         isJson,
-        ({ cases }) => formatCases(cases),
+        ({ cases }) => formatQuarantine(cases),
       ),
     runRelease(router, { content, who, reason }, isJson) {
       const path = `/quarantine/${encodeURIComponent(content)}/release`;
-      const question = { ...router, path, body: { who, reason } };
-      return runQuestion(question, isJson, () => `released ${content}`);
+      const request = { ...router, path, body: { who, reason } };
+      return runRequest(request, isJson, () => `released ${content}`);
     },
     runDuties: (router, isJson) =>
-      runQuestion<{ readonly duties: DutyStatus | null }>(
+      runRequest<{ readonly duties: DutyStatus | null }>(
         { ...router, path: '/duties' },
         isJson,
         ({ duties }) => formatDuties(duties),
       ),
     runStepDown: (router, isJson) =>
-      runQuestion<{ readonly outcome: string }>(
+      runRequest<{ readonly outcome: string }>(
         { ...router, path: '/duties/release', body: {} },
         isJson,
         ({ outcome }) => outcome,
--- a/src/configuration/compile-files.ts
+++ b/src/configuration/compile-files.ts
@@ -21,22 +21,22 @@
   let cache = new Map<string, CachedFile>();
   return {
     build(files, version) {
-      const next = new Map<string, CachedFile>();
+      const nextCache = new Map<string, CachedFile>();
       const errors: DeclarationError[] = [];
       for (const [name, text] of files) {
-        const known = cache.get(name);
-        if (known?.text === text) {
-          next.set(name, known);
+        const cached = cache.get(name);
+        if (cached?.text === text) {
+          nextCache.set(name, cached);
         } else {
           const result = parseDeclarationFile(name, text);
-          if (result.ok) next.set(name, { text, parsed: result.val });
+          if (result.ok) nextCache.set(name, { text, parsed: result.val });
           else errors.push(...result.val);
         }
       }
       if (errors.length > 0) return Err(errors);
-      cache = next;
+      cache = nextCache;
       return mergeFiles(
-        [...next.values()].map(({ parsed }) => parsed),
+        [...nextCache.values()].map(({ parsed }) => parsed),
         version,
       );
     },
--- a/src/configuration/configuration.test.ts
+++ b/src/configuration/configuration.test.ts
@@ -19,18 +19,18 @@
   models: { kind: engine, models: [assistant], endpoints: {} }
 `;
 
-function buildTeam(name: string, weight: number): string {
+function buildOrganisationFile(name: string, weight: number): string {
   const key = `sha256:${hashText(name)}`;
   return `organisations:\n  ${name}: { keys: ['${key}'], classes: [counter], defaultClass: counter, pools: [models], weight: ${weight} }\n`;
 }
 
-/** In-memory store; `beforePublish` decides whether a write succeeds or where it is lost. */
+/** In-memory store; `chooseOutcome` decides whether a write succeeds or where it is lost. */
 function createFakeStore(
-  beforePublish: (tries: number) => 'fine' | 'lost' | 'unsent' = () => 'fine',
+  chooseOutcome: (attempt: number) => 'fine' | 'lost' | 'unsent' = () => 'fine',
 ) {
   const texts = new Map<string, string>();
   const audit: AuditRecord[] = [];
-  let tries = 0;
+  let attempts = 0;
   const ambiguous = createPlatformError(PLATFORM_FAILURE.Ambiguous, 'lost');
   const store: ConfigurationStore = {
     async getHead() {
@@ -44,14 +44,14 @@
       });
     },
     async publish(record) {
-      tries += 1;
-      const fate = beforePublish(tries);
-      if (fate === 'unsent') return Err(ambiguous);
+      attempts += 1;
+      const outcome = chooseOutcome(attempts);
+      if (outcome === 'unsent') return Err(ambiguous);
       if ((audit.at(-1)?.version ?? 0) !== record.fromVersion) {
         return Err(createPlatformError(PLATFORM_FAILURE.Conflict, 'moved'));
       }
       audit.push(record);
-      return fate === 'lost' ? Err(ambiguous) : Ok(undefined);
+      return outcome === 'lost' ? Err(ambiguous) : Ok(undefined);
     },
     getAudit: async (version) => Ok(audit.find((record) => record.version === version)),
     listAudit: async () => Ok([...audit].reverse()),
@@ -83,12 +83,16 @@
 }
 
 describe('publishing', ({ it }) => {
-  const first = { '00.yaml': BASE, 'a.yaml': buildTeam('a', 1), 'b.yaml': buildTeam('b', 1) };
+  const initialFiles = {
+    '00.yaml': BASE,
+    'a.yaml': buildOrganisationFile('a', 1),
+    'b.yaml': buildOrganisationFile('b', 1),
+  };
 
   it('recognises its own write when the response is lost', async (t) => {
     // Guards against a change that is recorded twice because the response to the first write was lost.
-    const { store, audit } = createFakeStore((tries) => (tries === 1 ? 'lost' : 'fine'));
-    const published = await publishFiles(store, buildRequest(first));
+    const { store, audit } = createFakeStore((attempt) => (attempt === 1 ? 'lost' : 'fine'));
+    const published = await publishFiles(store, buildRequest(initialFiles));
     t.true(published.ok);
     t.is(audit.length, 1);
   });
@@ -96,21 +100,21 @@
   it('recognises its own write after a later one by another operator', async (t) => {
     // Guards against reporting a conflict for a change that took effect: its response was lost, and
     // another operator changed the same file before it was read back.
-    const { store, audit } = createFakeStore((tries) => (tries === 2 ? 'lost' : 'fine'));
-    await publishFiles(store, buildRequest(first));
-    const raced: ConfigurationStore = {
+    const { store, audit } = createFakeStore((attempt) => (attempt === 2 ? 'lost' : 'fine'));
+    await publishFiles(store, buildRequest(initialFiles));
+    const racingStore: ConfigurationStore = {
       ...store,
       async publish(record) {
         const result = await store.publish(record);
         if (record.version === 2) {
-          const theirs = { ...first, 'a.yaml': buildTeam('a', 7) };
+          const theirs = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 7) };
           await publishFiles(store, buildRequest(theirs, { who: 'kamala' }));
         }
         return result;
       },
     };
-    const ours = { ...first, 'a.yaml': buildTeam('a', 2) };
-    const published = await publishFiles(raced, buildRequest(ours, { who: 'nimal' }));
+    const ours = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 2) };
+    const published = await publishFiles(racingStore, buildRequest(ours, { who: 'nimal' }));
     t.is(published.ok && published.val.version, 2);
     t.deepEqual(
       audit.map(({ who }) => who),
@@ -119,17 +123,17 @@
   });
 
   it('retries a write that never arrived', async (t) => {
-    const { store, audit } = createFakeStore((tries) => (tries === 1 ? 'unsent' : 'fine'));
-    t.true((await publishFiles(store, buildRequest(first))).ok);
+    const { store, audit } = createFakeStore((attempt) => (attempt === 1 ? 'unsent' : 'fine'));
+    t.true((await publishFiles(store, buildRequest(initialFiles))).ok);
     t.is(audit.length, 1);
   });
 
   it('merges concurrent changes of different files', async (t) => {
     // Guards against a conflict between concurrent publications that change different files.
     const { store, audit } = createFakeStore();
-    await publishFiles(store, buildRequest(first));
-    const changedA = { ...first, 'a.yaml': buildTeam('a', 2) };
-    const changedB = { ...first, 'b.yaml': buildTeam('b', 3) };
+    await publishFiles(store, buildRequest(initialFiles));
+    const changedA = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 2) };
+    const changedB = { ...initialFiles, 'b.yaml': buildOrganisationFile('b', 3) };
     await publishFiles(store, buildRequest(changedA, { who: 'a', baseVersion: 1 }));
     const merged = await publishFiles(store, buildRequest(changedB, { who: 'b', baseVersion: 1 }));
     t.true(merged.ok);
@@ -141,9 +145,9 @@
 
   it('reports author, time and remedy of a conflicting change', async (t) => {
     const { store } = createFakeStore();
-    await publishFiles(store, buildRequest(first));
-    const theirs = { ...first, 'a.yaml': buildTeam('a', 2) };
-    const ours = { ...first, 'a.yaml': buildTeam('a', 9) };
+    await publishFiles(store, buildRequest(initialFiles));
+    const theirs = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 2) };
+    const ours = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 9) };
     await publishFiles(store, buildRequest(theirs, { who: 'kamala', baseVersion: 1 }));
     const refused = await publishFiles(store, buildRequest(ours, { who: 'nimal', baseVersion: 1 }));
     t.true(refused.err);
@@ -153,8 +157,8 @@
 
   it('changes only the files that are named', async (t) => {
     const { store } = createFakeStore();
-    await publishFiles(store, buildRequest(first));
-    const own = { 'a.yaml': buildTeam('a', 4) };
+    await publishFiles(store, buildRequest(initialFiles));
+    const own = { 'a.yaml': buildOrganisationFile('a', 4) };
     const published = await publishFiles(store, buildRequest(own, { only: ['a.yaml'] }));
     t.is(published.ok && published.val.declarations.organisations.size, 2);
   });
@@ -164,18 +168,18 @@
   it('are rejected with file, line and remedy', (t) => {
     const files = new Map([
       ['00.yaml', BASE],
-      ['a.yaml', buildTeam('a', 1)],
-      ['b.yaml', buildTeam('a', 1)],
-      ['c.yaml', buildTeam('c', 1).replace('classes: [counter]', 'classes: [gold]')],
+      ['a.yaml', buildOrganisationFile('a', 1)],
+      ['b.yaml', buildOrganisationFile('a', 1)],
+      ['c.yaml', buildOrganisationFile('c', 1).replace('classes: [counter]', 'classes: [gold]')],
       ['d.yaml', 'classes:\n  fast:\n    tier: 0\n    tire: 1\n'],
       ['e.yaml', 'organisations: {{\n'],
     ]);
-    const bad = createCompiler().build(files, 1);
-    t.snapshot(bad.err && bad.val.map(formatDeclarationError));
+    const schemaErrors = createCompiler().build(files, 1);
+    t.snapshot(schemaErrors.err && schemaErrors.val.map(formatDeclarationError));
     files.delete('d.yaml');
     files.delete('e.yaml');
-    const dangling = createCompiler().build(files, 1);
-    t.snapshot(dangling.err && dangling.val.map(formatDeclarationError));
+    const referenceErrors = createCompiler().build(files, 1);
+    t.snapshot(referenceErrors.err && referenceErrors.val.map(formatDeclarationError));
   });
 });
 
--- a/src/configuration/keeper.ts
+++ b/src/configuration/keeper.ts
@@ -19,11 +19,11 @@
 export const PLATFORM_SOURCE = 'platform';
 
 /** Polling interval of the instances that poll the platform for their data centre. */
-export const POLL_MS = 1000;
+export const POLL_INTERVAL_MS = 1000;
 /** Polling interval of all other instances, in case every poller of a data centre fails. */
-export const POLL_IDLE_MS = 15_000;
+export const FALLBACK_POLL_INTERVAL_MS = 15_000;
 const FETCH_TIMEOUT_MS = 4000;
-const SOURCES_KEPT = 8;
+const SOURCES_MAX = 8;
 
 /** Input of the state machine. */
 export type KeeperMessage =
@@ -60,14 +60,15 @@
   let texts = new Map<string, string>();
   let version = 0;
   let manifestText = '';
-  let polledMs = -Infinity;
-  let fetching: { version: number; source: string; sinceMs: number } | undefined;
+  let lastPollMs = -Infinity;
+  let pendingFetch: { version: number; source: string; startedMs: number } | undefined;
   let sources: { version: number; source: string }[] = [];
   let commands: KeeperCommand[] = [];
 
   function startFetch(nowMs: number): void {
-    const isBusy = fetching !== undefined && nowMs - fetching.sinceMs < FETCH_TIMEOUT_MS;
-    if (isBusy) return;
+    const isFetching =
+      pendingFetch !== undefined && nowMs - pendingFetch.startedMs < FETCH_TIMEOUT_MS;
+    if (isFetching) return;
     sources = sources.filter((candidate) => candidate.version > version);
     // Prefer peers over the platform: they are closer, and the platform limits reads.
     const ranked = [...sources].sort(
@@ -75,30 +76,30 @@
         b.version - a.version ||
         Number(a.source === PLATFORM_SOURCE) - Number(b.source === PLATFORM_SOURCE),
     );
-    const [best] = ranked;
-    fetching = best === undefined ? undefined : { ...best, sinceMs: nowMs };
-    if (best !== undefined) commands.push({ kind: 'fetch', ...best });
+    const [bestSource] = ranked;
+    pendingFetch = bestSource === undefined ? undefined : { ...bestSource, startedMs: nowMs };
+    if (bestSource !== undefined) commands.push({ kind: 'fetch', ...bestSource });
   }
 
-  function handleAnnounced(announced: number, source: string, nowMs: number): void {
-    if (announced <= version) return;
-    const others = sources.filter((known) => known.source !== source);
-    sources = [{ version: announced, source }, ...others].slice(0, SOURCES_KEPT);
+  function handleAnnounced(announcedVersion: number, source: string, nowMs: number): void {
+    if (announcedVersion <= version) return;
+    const otherSources = sources.filter((candidate) => candidate.source !== source);
+    sources = [{ version: announcedVersion, source }, ...otherSources].slice(0, SOURCES_MAX);
     startFetch(nowMs);
   }
 
   /** Clears the sources, so that a rejected version is not fetched again until it is announced again. */
-  function refuseVersion(refused: number, reason: string): void {
+  function refuseVersion(refusedVersion: number, reason: string): void {
     sources = [];
-    commands.push({ kind: 'reject', version: refused, reason });
+    commands.push({ kind: 'reject', version: refusedVersion, reason });
   }
 
   function handleFetched(message: Extract<KeeperMessage, { kind: 'fetched' }>): void {
-    fetching = undefined;
+    pendingFetch = undefined;
     if (message.version <= version) return;
     const manifest = parseManifest(message.manifest);
     const files = new Map<string, string>();
-    const kept = new Map<string, string>();
+    const manifestTexts = new Map<string, string>();
     for (const { name, hash } of manifest.files) {
       const text = texts.get(hash) ?? message.texts.get(hash);
       if (text === undefined || hashText(text) !== hash) {
@@ -109,7 +110,7 @@
         return;
       }
       files.set(name, text);
-      kept.set(hash, text);
+      manifestTexts.set(hash, text);
     }
     const declarations = compiler.build(files, message.version);
     if (declarations.err) {
@@ -123,14 +124,14 @@
     );
     version = message.version;
     manifestText = message.manifest;
-    texts = kept;
+    texts = manifestTexts;
     commands.push({ kind: 'apply', declarations: declarations.val });
   }
 
   function handleTick(isPoller: boolean, nowMs: number): void {
-    const period = isPoller || version === 0 ? POLL_MS : POLL_IDLE_MS;
-    if (nowMs - polledMs >= period) {
-      polledMs = nowMs;
+    const pollIntervalMs = isPoller || version === 0 ? POLL_INTERVAL_MS : FALLBACK_POLL_INTERVAL_MS;
+    if (nowMs - lastPollMs >= pollIntervalMs) {
+      lastPollMs = nowMs;
       commands.push({ kind: 'poll' });
     }
     startFetch(nowMs);
@@ -146,8 +147,8 @@
         startFetch(nowMs);
         break;
       case 'fetch_failed':
-        fetching = undefined;
-        sources = sources.filter((known) => known.source !== message.source);
+        pendingFetch = undefined;
+        sources = sources.filter((candidate) => candidate.source !== message.source);
         startFetch(nowMs);
         break;
       case 'tick':
--- a/src/configuration/merge-files.ts
+++ b/src/configuration/merge-files.ts
@@ -16,9 +16,9 @@
 
 const KEY_PREFIX = 'sha256:';
 
-type Place = readonly [file: ParsedFile, path: readonly string[]];
+type Location = readonly [file: ParsedFile, path: readonly string[]];
 
-function createError([file, path]: Place, message: string): DeclarationError {
+function createError([file, path]: Location, message: string): DeclarationError {
   return { file: file.name, line: file.getLine(path), message };
 }
 
@@ -146,15 +146,17 @@
 const organisationsOfFile = new WeakMap<ParsedFile, readonly OrganisationDeclaration[]>();
 
 function listOrganisations(file: ParsedFile): readonly OrganisationDeclaration[] {
-  const known = organisationsOfFile.get(file);
-  if (known !== undefined) return known;
-  const list = Object.entries(file.content.organisations).map(([name, { keys, ...rest }]) => ({
-    name,
-    keyHashes: keys.map((key) => key.slice(KEY_PREFIX.length)),
-    ...rest,
-  }));
-  organisationsOfFile.set(file, list);
-  return list;
+  const cached = organisationsOfFile.get(file);
+  if (cached !== undefined) return cached;
+  const fileOrganisations = Object.entries(file.content.organisations).map(
+    ([name, { keys, ...rest }]) => ({
+      name,
+      keyHashes: keys.map((key) => key.slice(KEY_PREFIX.length)),
+      ...rest,
+    }),
+  );
+  organisationsOfFile.set(file, fileOrganisations);
+  return fileOrganisations;
 }
 
 function buildOrganisations(files: readonly ParsedFile[]): Map<string, OrganisationDeclaration> {
--- a/src/configuration/parse-file.ts
+++ b/src/configuration/parse-file.ts
@@ -44,9 +44,9 @@
 }
 
 function formatIssue(issue: z.core.$ZodIssue): string {
-  const where = issue.path.map(String).join('.');
-  const unknown = issue.code === 'unrecognized_keys' ? '; remove it or correct its name' : '';
-  return `${where === '' ? 'the file' : where}: ${issue.message}${unknown}`;
+  const location = issue.path.map(String).join('.');
+  const remedy = issue.code === 'unrecognized_keys' ? '; remove it or correct its name' : '';
+  return `${location === '' ? 'the file' : location}: ${issue.message}${remedy}`;
 }
 
 export function parseDeclarationFile(
--- a/src/configuration/publish.ts
+++ b/src/configuration/publish.ts
@@ -19,7 +19,7 @@
 /** Attempts to rebase onto a concurrent publication. */
 const ROUNDS_MAX = 8;
 /** Attempts at a write that gets no response; the compare-and-set makes a retry safe. */
-const AMBIGUOUS_TRIES = 4;
+const WRITE_ATTEMPTS_MAX = 4;
 
 export type PublishError =
   | { readonly kind: 'invalid'; readonly errors: readonly DeclarationError[] }
@@ -55,7 +55,7 @@
   readonly declarations: Declarations;
 }
 
-const EMPTY: Manifest = { files: [] };
+const EMPTY_MANIFEST: Manifest = { files: [] };
 
 export function formatPublishError(error: PublishError): string {
   switch (error.kind) {
@@ -95,7 +95,7 @@
 async function loadHead(store: ConfigurationStore): Promise<Result<Head, PublishError>> {
   const head = await store.getHead();
   if (head.err) return Err({ kind: 'platform', error: head.val });
-  if (head.val === undefined) return Ok({ version: 0, manifest: EMPTY });
+  if (head.val === undefined) return Ok({ version: 0, manifest: EMPTY_MANIFEST });
   const { version, document } = head.val;
   const manifest = await loadManifest(store, document.manifestHash);
   return manifest.map((found) => ({ version, manifest: found }));
@@ -105,7 +105,7 @@
   store: ConfigurationStore,
   version: number,
 ): Promise<Result<Manifest, PublishError>> {
-  if (version === 0) return Ok(EMPTY);
+  if (version === 0) return Ok(EMPTY_MANIFEST);
   const record = await store.getAudit(version);
   if (record.err) return Err({ kind: 'platform', error: record.val });
   if (record.val === undefined) return Err({ kind: 'unknown_base', version });
@@ -119,7 +119,7 @@
   return only === undefined ? changes : changes.filter((change) => only.includes(change.name));
 }
 
-async function findAuthor(
+async function buildConflictError(
   store: ConfigurationStore,
   file: string,
   sinceVersion: number,
@@ -139,12 +139,13 @@
 
 /** Finds the first file that both sides changed to different content. */
 function findConflict(
-  own: readonly FileChange[],
-  theirs: readonly FileChange[],
+  ownChanges: readonly FileChange[],
+  otherChanges: readonly FileChange[],
 ): string | undefined {
-  const changed = new Map(theirs.map((change) => [change.name, change.after]));
-  return own.find((change) => changed.has(change.name) && changed.get(change.name) !== change.after)
-    ?.name;
+  const changed = new Map(otherChanges.map((change) => [change.name, change.after]));
+  return ownChanges.find(
+    (change) => changed.has(change.name) && changed.get(change.name) !== change.after,
+  )?.name;
 }
 
 function applyChanges(manifest: Manifest, changes: readonly FileChange[]): Manifest {
@@ -163,11 +164,11 @@
 async function loadFiles(
   store: ConfigurationStore,
   manifest: Manifest,
-  known: ReadonlyMap<string, string>,
+  cachedTexts: ReadonlyMap<string, string>,
 ): Promise<Result<FolderFiles, PublishError>> {
   const files = new Map<string, string>();
   for (const { name, hash } of manifest.files) {
-    const text = known.get(hash);
+    const text = cachedTexts.get(hash);
     if (text === undefined) {
       // Sequential, to limit the load on the store.
       // eslint-disable-next-line no-await-in-loop
@@ -194,23 +195,26 @@
   return found.val?.publishId === record.publishId;
 }
 
-type WriteVerdict = 'published' | 'lost_race' | 'uncertain' | PlatformError;
+type WriteOutcome = 'published' | 'lost_race' | 'uncertain' | PlatformError;
 
 /**
  * Updates the head. The response may be lost after the write took effect, so the same compare-and-set
  * is retried: it succeeds at most once, and the id in the audit record identifies the writer.
  */
-async function storeRecord(store: ConfigurationStore, record: AuditRecord): Promise<WriteVerdict> {
-  for (let tries = 0; tries < AMBIGUOUS_TRIES; tries += 1) {
+async function publishRecord(
+  store: ConfigurationStore,
+  record: AuditRecord,
+): Promise<WriteOutcome> {
+  for (let attempt = 0; attempt < WRITE_ATTEMPTS_MAX; attempt += 1) {
     // eslint-disable-next-line no-await-in-loop
     const written = await store.publish(record);
     if (written.ok) return 'published';
     const isAmbiguous = written.val.kind === PLATFORM_FAILURE.Ambiguous;
-    if (written.val.kind === PLATFORM_FAILURE.Rejected && tries === 0) return written.val;
+    if (written.val.kind === PLATFORM_FAILURE.Rejected && attempt === 0) return written.val;
     // eslint-disable-next-line no-await-in-loop
-    const isMine = await isPublished(store, record);
-    if (isMine === true) return 'published';
-    if (isMine === false && !isAmbiguous) return 'lost_race';
+    const isOwn = await isPublished(store, record);
+    if (isOwn === true) return 'published';
+    if (isOwn === false && !isAmbiguous) return 'lost_race';
   }
   return 'uncertain';
 }
@@ -231,24 +235,24 @@
   store: ConfigurationStore,
   request: PublishRequest,
 ): Promise<Result<Published, PublishError>> {
-  const first = await loadHead(store);
-  if (first.err) return first;
-  const { baseVersion = first.val.version } = request;
+  const initialHead = await loadHead(store);
+  if (initialHead.err) return initialHead;
+  const { baseVersion = initialHead.val.version } = request;
   const base =
-    baseVersion === first.val.version
-      ? Ok(first.val.manifest)
+    baseVersion === initialHead.val.version
+      ? Ok(initialHead.val.manifest)
       : await loadVersion(store, baseVersion);
   if (base.err) return base;
-  const own = listOwnChanges(request, base.val);
+  const ownChanges = listOwnChanges(request, base.val);
   const texts = new Map([...request.files.values()].map((text) => [hashText(text), text]));
   const compiler = createCompiler();
-  let head = first.val;
+  let head = initialHead.val;
   for (let round = 0; round < ROUNDS_MAX; round += 1) {
-    const theirs = compareManifests(base.val, head.manifest);
-    const conflict = findConflict(own, theirs);
+    const otherChanges = compareManifests(base.val, head.manifest);
+    const conflict = findConflict(ownChanges, otherChanges);
     // eslint-disable-next-line no-await-in-loop
-    if (conflict !== undefined) return Err(await findAuthor(store, conflict, baseVersion));
-    const manifest = applyChanges(head.manifest, own);
+    if (conflict !== undefined) return Err(await buildConflictError(store, conflict, baseVersion));
+    const manifest = applyChanges(head.manifest, ownChanges);
     // eslint-disable-next-line no-await-in-loop
     const files = await loadFiles(store, manifest, texts);
     if (files.err) return files;
@@ -265,7 +269,7 @@
     const stored = await storeTexts(store, [...added, manifestText]);
     if (stored.err) return stored;
     // eslint-disable-next-line no-await-in-loop
-    const verdict = await storeRecord(store, {
+    const outcome = await publishRecord(store, {
       version,
       fromVersion: head.version,
       who: request.who,
@@ -275,9 +279,9 @@
       reason: request.reason,
       changes,
     });
-    if (verdict === 'published') return Ok({ version, changes, declarations: declarations.val });
-    if (verdict === 'uncertain') return Err({ kind: 'uncertain', publishId: request.publishId });
-    if (verdict !== 'lost_race') return Err({ kind: 'platform', error: verdict });
+    if (outcome === 'published') return Ok({ version, changes, declarations: declarations.val });
+    if (outcome === 'uncertain') return Err({ kind: 'uncertain', publishId: request.publishId });
+    if (outcome !== 'lost_race') return Err({ kind: 'platform', error: outcome });
     // eslint-disable-next-line no-await-in-loop
     const next = await loadHead(store);
     if (next.err) return next;
@@ -293,9 +297,9 @@
 ): Promise<Result<{ readonly version: number; readonly files: FolderFiles }, PublishError>> {
   const head = await loadHead(store);
   if (head.err) return head;
-  const wanted = version ?? head.val.version;
-  const manifest = await loadVersion(store, wanted);
+  const requestedVersion = version ?? head.val.version;
+  const manifest = await loadVersion(store, requestedVersion);
   if (manifest.err) return manifest;
   const files = await loadFiles(store, manifest.val, new Map());
-  return files.map((loaded) => ({ version: wanted, files: loaded }));
+  return files.map((loaded) => ({ version: requestedVersion, files: loaded }));
 }
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -14,11 +14,11 @@
     'write sha256: and 64 hex digits, as `hyssoptally-ctl key` prints',
   );
 
-const TIERS_MAX = 16;
+const TIER_MAX = 16;
 const DAY_MS = 86_400_000;
 
 export const classSchema = z.strictObject({
-  tier: z.number().int().min(0).max(TIERS_MAX),
+  tier: z.number().int().min(0).max(TIER_MAX),
   firstTokenMs: z.number().positive().max(DAY_MS),
   betweenTokensMs: z.number().positive().max(DAY_MS),
   deadlineMs: z.number().positive().max(DAY_MS),
--- a/src/orders/reconciler.ts
+++ b/src/orders/reconciler.ts
@@ -9,7 +9,7 @@
 const LOADS_BURST = 2;
 /** Time for an engine to report the effect of an order before it gets another one. */
 const SETTLE_MS = 5000;
-const ENGINES_KEPT = 4096;
+const TRACKED_ENGINES_MAX = 4096;
 
 /** The models that an engine reports as loaded. */
 export interface EngineReport {
@@ -25,43 +25,46 @@
 }
 
 export interface Reconciler {
-  /** Returns orders for engines whose models differ from `wanted`, within the rate limit. */
+  /** Returns orders for engines whose models differ from `desiredModels`, within the rate limit. */
   handle(
     reports: readonly EngineReport[],
-    wanted: readonly string[],
+    desiredModels: readonly string[],
     fence: number,
     nowMs: number,
   ): EngineOrder[];
 }
 
 export function createReconciler(): Reconciler {
-  const orderedMs = createBoundedMap<string, number>(ENGINES_KEPT);
-  let allowance = LOADS_BURST;
-  let refilledMs: number | undefined;
+  const lastOrderMs = createBoundedMap<string, number>(TRACKED_ENGINES_MAX);
+  let availableLoads = LOADS_BURST;
+  let lastRefillMs: number | undefined;
 
-  function countLoads(report: EngineReport, wanted: readonly string[]): number {
-    return wanted.filter((model) => !report.models.includes(model)).length;
+  function countMissingModels(report: EngineReport, desiredModels: readonly string[]): number {
+    return desiredModels.filter((model) => !report.models.includes(model)).length;
   }
 
-  function isWrong(report: EngineReport, wanted: readonly string[]): boolean {
-    const hasExtra = report.models.some((model) => !wanted.includes(model));
-    return hasExtra || countLoads(report, wanted) > 0;
+  function isDiverged(report: EngineReport, desiredModels: readonly string[]): boolean {
+    const hasExtra = report.models.some((model) => !desiredModels.includes(model));
+    return hasExtra || countMissingModels(report, desiredModels) > 0;
   }
 
   return {
-    handle(reports, wanted, fence, nowMs) {
-      const elapsedMs = nowMs - (refilledMs ?? nowMs);
-      refilledMs = nowMs;
-      allowance = Math.min(LOADS_BURST, allowance + (elapsedMs / 1000) * LOADS_PER_SECOND);
+    handle(reports, desiredModels, fence, nowMs) {
+      const elapsedMs = nowMs - (lastRefillMs ?? nowMs);
+      lastRefillMs = nowMs;
+      availableLoads = Math.min(
+        LOADS_BURST,
+        availableLoads + (elapsedMs / 1000) * LOADS_PER_SECOND,
+      );
       const orders: EngineOrder[] = [];
       for (const report of reports) {
-        const isSettling = nowMs - (orderedMs.get(report.endpoint) ?? -Infinity) < SETTLE_MS;
-        const loads = countLoads(report, wanted);
-        const isPaced = loads === 0 || allowance >= 1;
-        if (isWrong(report, wanted) && !isSettling && isPaced) {
-          allowance -= loads;
-          orderedMs.set(report.endpoint, nowMs);
-          orders.push({ endpoint: report.endpoint, fence, models: [...wanted] });
+        const isSettling = nowMs - (lastOrderMs.get(report.endpoint) ?? -Infinity) < SETTLE_MS;
+        const missingCount = countMissingModels(report, desiredModels);
+        const isWithinRate = missingCount === 0 || availableLoads >= 1;
+        if (isDiverged(report, desiredModels) && !isSettling && isWithinRate) {
+          availableLoads -= missingCount;
+          lastOrderMs.set(report.endpoint, nowMs);
+          orders.push({ endpoint: report.endpoint, fence, models: [...desiredModels] });
         }
       }
       return orders;
--- a/src/storage/instance-list-client.ts
+++ b/src/storage/instance-list-client.ts
@@ -56,9 +56,9 @@
 
   return {
     async list() {
-      const answer = await send('GET', '/instances', null);
-      if (answer.err) return answer;
-      const parsed = z.array(listedInstanceSchema).safeParse(JSON.parse(answer.val));
+      const result = await send('GET', '/instances', null);
+      if (result.err) return result;
+      const parsed = z.array(listedInstanceSchema).safeParse(JSON.parse(result.val));
       if (parsed.success) return Ok(parsed.data);
       return Err(
         createPlatformError(
@@ -68,8 +68,8 @@
       );
     },
     async set(instance) {
-      const answer = await send('PUT', `/instances/${instance.name}`, JSON.stringify(instance));
-      return answer.map(() => undefined);
+      const result = await send('PUT', `/instances/${instance.name}`, JSON.stringify(instance));
+      return result.map(() => undefined);
     },
   };
 }
--- a/src/storage/object-client.ts
+++ b/src/storage/object-client.ts
@@ -19,21 +19,23 @@
     );
   return {
     async get(name) {
-      const answer = await client.send({ method: 'GET', path: `/${bucket}/${name}` });
-      if (answer.err) return answer;
-      if (answer.val.status === 404) return Ok(undefined);
-      if (answer.val.status !== 200) return Err(createRejection('GetObject', answer.val.status));
-      return Ok(answer.val.text);
+      const response = await client.send({ method: 'GET', path: `/${bucket}/${name}` });
+      if (response.err) return response;
+      if (response.val.status === 404) return Ok(undefined);
+      if (response.val.status !== 200)
+        return Err(createRejection('GetObject', response.val.status));
+      return Ok(response.val.text);
     },
     async store(name, text) {
-      const answer = await client.send({
+      const response = await client.send({
         method: 'PUT',
         path: `/${bucket}/${name}`,
         body: text,
         headers: { 'content-type': 'application/octet-stream' },
       });
-      if (answer.err) return answer;
-      if (answer.val.status !== 200) return Err(createRejection('PutObject', answer.val.status));
+      if (response.err) return response;
+      if (response.val.status !== 200)
+        return Err(createRejection('PutObject', response.val.status));
       return Ok(undefined);
     },
   };
--- a/src/storage/signed-client.ts
+++ b/src/storage/signed-client.ts
@@ -34,7 +34,7 @@
 }
 
 const DEFAULT_TIMEOUT_MS = 1500;
-const CONNECTIONS = 8;
+const CONNECTIONS_MAX = 8;
 /** Errors raised before the request was sent, so that the call had no effect. */
 const UNSENT_CODES = ['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND', 'EHOSTUNREACH'];
 
@@ -47,7 +47,7 @@
 export function createSignedClient(options: SignedClientOptions): SignedClient {
   const { origin, host } = new URL(options.url);
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-  const pool = new Pool(origin, { connections: CONNECTIONS, connectTimeout: timeoutMs });
+  const pool = new Pool(origin, { connections: CONNECTIONS_MAX, connectTimeout: timeoutMs });
 
   function buildHeaders(request: SignedRequest): Record<string, string> {
     const signed = aws4.sign(
--- a/src/storage/table-client.ts
+++ b/src/storage/table-client.ts
@@ -91,14 +91,14 @@
 
 export function createTableClient(client: SignedClient, table: string): TableClient {
   async function send<T>(operation: string, body: object): Promise<Result<T, PlatformError>> {
-    const answer = await client.send({
+    const response = await client.send({
       method: 'POST',
       path: '/',
       body: JSON.stringify(body),
       headers: { 'content-type': CONTENT_TYPE, 'x-amz-target': TARGET_PREFIX + operation },
     });
-    if (answer.err) return answer;
-    const { status, text } = answer.val;
+    if (response.err) return response;
+    const { status, text } = response.val;
     if (status === 200) return Ok(JSON.parse(text) as T);
     const isConflict = CONFLICT_TYPES.some((type) => text.includes(type));
     if (status === 400 && isConflict) {
@@ -119,15 +119,15 @@
 
   return {
     async get<T>(key: ItemKey) {
-      const answer = await send<{ Item?: WireItem }>('GetItem', {
+      const result = await send<{ Item?: WireItem }>('GetItem', {
         TableName: table,
         Key: encodeKey(key),
         ConsistentRead: true,
       });
-      return answer.map(({ Item: item }) => (item === undefined ? undefined : parseItem<T>(item)));
+      return result.map(({ Item: item }) => (item === undefined ? undefined : parseItem<T>(item)));
     },
     async query<T>(partition: string, options: QueryOptions = {}) {
-      const answer = await send<{ Items: WireItem[] }>('Query', {
+      const result = await send<{ Items: WireItem[] }>('Query', {
         TableName: table,
         KeyConditionExpression: 'pk = :pk',
         ExpressionAttributeValues: { ':pk': { S: partition } },
@@ -135,13 +135,13 @@
         Limit: options.limit ?? 100,
         ConsistentRead: true,
       });
-      return answer.map(({ Items: items }) => items.map((item) => parseItem<T>(item)));
+      return result.map(({ Items: items }) => items.map((item) => parseItem<T>(item)));
     },
     async transact(writes) {
-      const answer = await send<object>('TransactWriteItems', {
+      const result = await send<object>('TransactWriteItems', {
         TransactItems: writes.map((write) => encodeWrite(table, write)),
       });
-      return answer.map(() => undefined);
+      return result.map(() => undefined);
     },
   };
 }
--- a/src/types/traffic.ts
+++ b/src/types/traffic.ts
@@ -40,7 +40,7 @@
 }
 
 /** Capacity of a model engine. */
-export interface EngineShape {
+export interface EngineCapacity {
   /** Maximum number of requests in a batch. */
   readonly slots: number;
   /** Tokens that fit into the cache, for running requests and cached prompts. */
@@ -67,7 +67,7 @@
   /** Connections that an endpoint accepts from all instances together. */
   readonly connectionsMax: number;
   /** Undefined for plain services. */
-  readonly engine: EngineShape | undefined;
+  readonly engine: EngineCapacity | undefined;
   /** Undefined if the pool is not scaled by the router. */
   readonly scaling: ScalingBounds | undefined;
 }
