--- a/src/cli/demo-main.ts
+++ b/src/cli/demo-main.ts
@@ -99,7 +99,7 @@
   const firstText = await first.body.text();
   // The claim is completed shortly after the response; until then the second request gets a 409.
   let second = await send(1);
-  for (let tries = 0; second.statusCode === 409 && tries < 20; tries += 1) {
+  for (let attempt = 0; second.statusCode === 409 && attempt < 20; attempt += 1) {
     // eslint-disable-next-line no-await-in-loop
     await second.body.dump();
     // eslint-disable-next-line no-await-in-loop
--- a/src/cli/load-main.ts
+++ b/src/cli/load-main.ts
@@ -95,6 +95,7 @@
   for (const { atMs, className, prompt, target } of plan) {
     const delayMs = startedMs + atMs - performance.now();
     if (delayMs > 1) {
+      // Open loop: requests are sent at their scheduled times.
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
         setTimeout(resolve, delayMs);
--- a/src/configuration/publish.ts
+++ b/src/configuration/publish.ts
@@ -205,6 +205,7 @@
   store: ConfigurationStore,
   record: AuditRecord,
 ): Promise<WriteOutcome> {
+  // Sequential: an attempt is made only if the previous one had no clear outcome.
   for (let attempt = 0; attempt < WRITE_ATTEMPTS_MAX; attempt += 1) {
     // eslint-disable-next-line no-await-in-loop
     const written = await store.publish(record);
@@ -223,6 +224,7 @@
   store: ConfigurationStore,
   texts: readonly string[],
 ): Promise<Result<void, PublishError>> {
+  // Sequential, to limit the load on the store.
   for (const text of texts) {
     // eslint-disable-next-line no-await-in-loop
     const stored = await store.storeText(text);
@@ -247,6 +249,7 @@
   const texts = new Map([...request.files.values()].map((text) => [hashText(text), text]));
   const compiler = createCompiler();
   let head = initialHead.val;
+  // Sequential: each round rebases onto the head read at the end of the previous one.
   for (let round = 0; round < ROUNDS_MAX; round += 1) {
     const otherChanges = compareManifests(base.val, head.manifest);
     const conflict = findConflict(ownChanges, otherChanges);
