--- a/src/calls/endpoint-connections.test.ts
+++ b/src/calls/endpoint-connections.test.ts
@@ -2,9 +2,9 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { describe } from '../test/describe.js';
 import { createEndpointConnections } from './endpoint-connections.js';
-import type { EndpointConnections, EndpointExchange } from './endpoint-connections.js';
+import type { EndpointConnections, EndpointRequest } from './endpoint-connections.js';
 
-const EXCHANGE: EndpointExchange = {
+const REQUEST: EndpointRequest = {
   method: 'POST',
   target: '/x',
   headers: [{ name: 'host', value: 'h.example' }],
@@ -38,7 +38,7 @@
 function runExchange(connections: EndpointConnections, address: string): Promise<Outcome> {
   return new Promise((resolve) => {
     let body = '';
-    connections.open(address, 8, EXCHANGE, {
+    connections.open(address, 8, REQUEST, {
       onHead: () => true,
       onData(bytes) {
         body += bytes.toString();
@@ -51,9 +51,8 @@
 }
 
 describe('endpoint connections', ({ it }) => {
-  // An endpoint answers without a length and its process dies in the middle: its last bytes and the
-  // reset arrive together, and the caller would see a short answer as whole.
-  it('tell a reset from the orderly end of an answer without a length', async (t) => {
+  // Guards against delivering a truncated response as complete when the reset arrives with its last bytes.
+  it('distinguish a reset from the end of a response without a length', async (t) => {
     const head = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhal';
     const server = await startEndpoint((socket, count) => {
       if (count === 1) socket.end(`${head}lo`);
@@ -70,7 +69,7 @@
     server.close();
   });
 
-  it('say that nothing was sent where no connection was made', async (t) => {
+  it('report that nothing was sent if no connection was established', async (t) => {
     const server = await startEndpoint(() => undefined);
     const address = getAddress(server);
     await new Promise((resolve) => {
@@ -81,9 +80,8 @@
     await connections.close();
   });
 
-  // An endpoint sends bytes behind a complete answer; they belong to no request. The next call must
-  // not find them on its connection.
-  it('do not use a connection again on which more came than one answer', async (t) => {
+  // Guards against reading surplus bytes after a response as the response to the next request.
+  it('do not reuse a connection that received surplus bytes', async (t) => {
     const answer = (body: string): string => `HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n${body}`;
     const server = await startEndpoint((socket, count) => {
       socket.write(count === 1 ? `${answer('ok')}${answer('xx')}` : answer('ok'));
@@ -99,7 +97,7 @@
     server.close();
   });
 
-  it('use a kept connection again', async (t) => {
+  it('reuse an idle connection', async (t) => {
     const server = await startEndpoint((socket) => {
       socket.write('HTTP/1.1 200 OK\r\nKeep-Alive: timeout=10\r\nContent-Length: 2\r\n\r\nok');
     });
--- a/src/calls/event-splitter.test.ts
+++ b/src/calls/event-splitter.test.ts
@@ -1,12 +1,11 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
-import { CALL_EVENT_BYTES_MAX } from './call-limits.js';
+import { EVENT_BYTES_MAX } from './call-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 
 describe('event splitter', ({ it }) => {
-  // An engine stops in the middle of an event. Passing the half on would join it to the
-  // continuation's first event, and the caller would read a text nobody wrote.
-  it('gives only whole events, byte for byte, however the stream is cut', (t) => {
+  // Guards against joining a partial event to the first event of a resumed stream.
+  it('returns complete events unchanged, however the stream is divided into chunks', (t) => {
     const stream = Buffer.from(
       'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nweights: 3\nid:3\ndata: c\n\n',
     );
@@ -20,7 +19,7 @@
         const joined = Buffer.concat(events.map(({ bytes }) => bytes));
         return (
           joined.equals(stream) &&
-          !splitter.hasRest() &&
+          !splitter.hasPartialEvent() &&
           events.map(({ id }) => id).join() === '1,2,3'
         );
       }),
@@ -28,14 +27,14 @@
     t.pass();
   });
 
-  it('keeps an unfinished event to itself', (t) => {
+  it('does not return a partial event', (t) => {
     const splitter = createEventSplitter();
     t.is(splitter.add(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'))?.length, 1);
-    t.true(splitter.hasRest());
+    t.true(splitter.hasPartialEvent());
   });
 
-  it('gives up an event without an end', (t) => {
+  it('rejects an event beyond the size limit', (t) => {
     const splitter = createEventSplitter();
-    t.is(splitter.add(Buffer.alloc(CALL_EVENT_BYTES_MAX + 1, 'x')), undefined);
+    t.is(splitter.add(Buffer.alloc(EVENT_BYTES_MAX + 1, 'x')), undefined);
   });
 });
--- a/src/calls/urgent-streams.test.ts
+++ b/src/calls/streams-in-overload.test.ts
@@ -1,6 +1,4 @@
-/**
- * Plays of overload: more prompts come for some seconds than the engines can read and answer.
- */
+/** Simulates overload: for some seconds more prompts arrive than the engines can process. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
 import { runPlay } from '../test/fleet-play.js';
@@ -49,8 +47,8 @@
 
 const WINDOW_MS = 5000;
 
-/** The largest part of lookups of any five seconds that got no whole answer. */
-function computeWorstLoss(calls: readonly PlayedCall[], lengthMs: number): number {
+/** Returns the largest fraction of lookups in any window that got no complete response. */
+function computeMaxLossFraction(calls: readonly PlayedCall[], lengthMs: number): number {
   let worst = 0;
   for (let fromMs = 0; fromMs + WINDOW_MS <= lengthMs; fromMs += 1000) {
     const window = calls.filter(
@@ -75,31 +73,28 @@
 }
 
 const SEEDS = [1, 2, 3];
-/** Part of the urgent calls of five seconds that may get nothing while less urgent ones begin. */
-const LOSS_MAX = 1 / 12;
+/** Largest fraction of the urgent calls in a window that may fail. */
+const LOSS_FRACTION_MAX = 1 / 12;
 
-/** Plays every seed and checks that no five seconds lost too many lookups. */
+/** Runs every seed and checks that no window loses too many lookups. */
 async function checkLookups(
   t: ExecutionContext,
   options: Omit<PlayOptions, 'seed'>,
 ): Promise<void> {
   const plays = await Promise.all(SEEDS.map((seed) => runPlay({ ...options, seed })));
   plays.forEach((calls, index) => {
-    const loss = computeWorstLoss(calls, options.lengthMs);
+    const loss = computeMaxLossFraction(calls, options.lengthMs);
     t.true(
-      loss <= LOSS_MAX,
+      loss <= LOSS_FRACTION_MAX,
       `seed ${SEEDS[index]}: ${loss.toFixed(2)} of 5 s; ${describeEnds(calls)}`,
     );
   });
 }
 
 describe('urgent streams in overload', ({ it }) => {
-  // A clerk's lookup begins to answer at once, then crawls; at ten seconds the clerk leaves without the
-  // end. Traffic had tripled for some seconds. Every history that came was sent to an engine, up to 130
-  // at one, and each of its steps read a piece of one and gave a token to all of them: 46 ms a step
-  // where 5 are usual, 170 steps to a lookup. Proved by the record of a played day: lookups first
-  // answered after 0.1 to 0.4 s, left after 8.9 to 9.6 s, with longest pauses of 223 to 284 ms.
-  it('end in their time beside a burst of long prompts', (t) =>
+  // Guards against sending so many long prompts to an engine that urgent streams on it slow down until
+  // their callers time out.
+  it('complete in time during a burst of long prompts', (t) =>
     checkLookups(t, {
       engines: 3,
       slots: 128,
@@ -109,12 +104,9 @@
       lengthMs: 20_000,
     }));
 
-  // Lookups are left unanswered for two seconds or turned away by full engines, and histories begin.
-  // Engines of few slots had been short of capacity for seconds. Histories held back were let in
-  // once they had waited 0.4 of their time, however full the engine was, and so filled its queue.
-  // Proved by a grown day: calls were sent to engines of 16 slots at 20 to 46 calls known to be under
-  // way, after waits of 2.8 to 4 s in one of ten; 577 of 4,000 lookups were turned away by full engines.
-  it('are not kept out by calls that waited long', (t) =>
+  // Guards against admitting long prompts to full engines just because they waited long, which fills
+  // the queues of the engines and rejects urgent calls.
+  it('are not displaced by less urgent calls that waited long', (t) =>
     checkLookups(t, {
       engines: 6,
       slots: 16,
--- a/src/load-sharing/load-exchange.test.ts
+++ b/src/load-sharing/load-exchange.test.ts
@@ -4,7 +4,7 @@
 import { describe } from '../test/describe.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
-import { chooseHeads, listHeadsFor } from './choose-heads.js';
+import { chooseAggregators, listAggregatorsFor } from './choose-heads.js';
 import type { LoadMember } from './choose-heads.js';
 import { TELL_PERIOD_MS, createLoadExchange } from './load-exchange.js';
 import type { LoadExchange } from './load-exchange.js';
@@ -27,14 +27,14 @@
   readonly exchange: LoadExchange;
 }
 
-/** A fleet whose tellings arrive within the period, but for those to and from who is silenced. */
+/** Creates a fleet whose updates arrive within a period, unless an instance is disconnected. */
 function createFleet(instances: number, dataCentres: number) {
   const members: LoadMember[] = Array.from({ length: instances }, (_, index) => ({
     name: `i-${index}`,
     address: `i-${index}:1`,
     dataCentre: `dc-${index % dataCentres}`,
   }));
-  const silenced = new Set<string>();
+  const disconnected = new Set<string>();
   let nowMs = 0;
   const fleet: Instance[] = members.map((self) => {
     const loads = createEndpointLoads();
@@ -43,21 +43,21 @@
   const instanceAt = new Map(fleet.map((instance) => [instance.self.address, instance]));
 
   function advanceOne({ self, exchange }: Instance): void {
-    const tellings = exchange.advance(nowMs);
-    if (silenced.has(self.name)) return;
-    for (const { addresses, ...telling } of tellings) {
+    const updates = exchange.advance(nowMs);
+    if (disconnected.has(self.name)) return;
+    for (const { addresses, ...update } of updates) {
       for (const address of addresses) {
         const to = instanceAt.get(address) as Instance;
-        const told = { ...telling, instance: self.name, dataCentre: self.dataCentre, part: 0 };
-        if (!silenced.has(to.self.name)) to.exchange.handle(told, nowMs);
+        const received = { ...update, instance: self.name, dataCentre: self.dataCentre, part: 0 };
+        if (!disconnected.has(to.self.name)) to.exchange.handle(received, nowMs);
       }
     }
   }
 
   return {
     fleet,
-    silenced,
-    heads: chooseHeads(members),
+    disconnected,
+    aggregators: chooseAggregators(members),
     runPeriods(periods: number): void {
       for (let count = 0; count < periods; count += 1) {
         nowMs += TELL_PERIOD_MS;
@@ -65,13 +65,13 @@
       }
     },
     getNow: () => nowMs,
-    /** What each instance holds for under way at the engine. */
+    /** The calls that each instance knows to be running at the engine. */
     listRunning: () => fleet.map(({ loads }) => loads.get('engine').running),
   };
 }
 
-describe('exchange of loads', ({ it }) => {
-  it('lets everybody know of everybody within a few periods, at any size', (t) => {
+describe('load exchange', ({ it }) => {
+  it('distributes all loads to all instances within a few periods at any fleet size', (t) => {
     for (const [instances, dataCentres] of [
       [1, 1],
       [7, 3],
@@ -80,109 +80,110 @@
       [195, 5],
       [300, 5],
     ] as const) {
-      const world = createFleet(instances, dataCentres);
-      world.runPeriods(8);
-      for (const { loads } of world.fleet) loads.start(ENGINE, 500, world.getNow());
-      world.runPeriods(4);
-      t.deepEqual(new Set(world.listRunning()), new Set([instances]), `${instances} instances`);
+      const cluster = createFleet(instances, dataCentres);
+      cluster.runPeriods(8);
+      for (const { loads } of cluster.fleet) loads.start(ENGINE, 500, cluster.getNow());
+      cluster.runPeriods(4);
+      t.deepEqual(new Set(cluster.listRunning()), new Set([instances]), `${instances} instances`);
     }
   });
 
-  // Calls begin and end at all instances while tellings travel. Once nothing changes any more, nobody
-  // may believe in calls that are over, or count one twice: such an engine would look full for ever.
-  it('comes to the truth whatever happened before', (t) => {
+  // Guards against calls that are counted twice or after their end, which would make an engine look
+  // full.
+  it('converges to the correct loads after any sequence of calls', (t) => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 1000 }),
         fc.integer({ min: 2, max: 40 }),
         (seed, size) => {
           const random = createRandom(seed);
-          const world = createFleet(size, 3);
+          const cluster = createFleet(size, 3);
           let running = 0;
           const ends: (() => void)[] = [];
           for (let step = 0; step < 40; step += 1) {
-            const { loads } = world.fleet[random.nextIndex(size)] as Instance;
+            const { loads } = cluster.fleet[random.nextIndex(size)] as Instance;
             if (random.next() < 0.6) {
-              const ticket = loads.start(ENGINE, 100, world.getNow(), random.next() < 0.5);
+              const ticket = loads.start(ENGINE, 100, cluster.getNow(), random.next() < 0.5);
               running += 1;
-              ends.push(() => ticket.recordEnd(ENDPOINT_VERDICT.Good, world.getNow()));
+              ends.push(() => ticket.recordEnd(ENDPOINT_VERDICT.Good, cluster.getNow()));
             } else if (ends.length > 0) {
               ends.splice(random.nextIndex(ends.length), 1)[0]?.();
               running -= 1;
             }
-            world.runPeriods(random.nextIndex(3));
+            cluster.runPeriods(random.nextIndex(3));
           }
-          world.runPeriods(15);
-          t.deepEqual(new Set(world.listRunning()), new Set([running]));
+          cluster.runPeriods(15);
+          t.deepEqual(new Set(cluster.listRunning()), new Set([running]));
         },
       ),
       { numRuns: 30 },
     );
   });
 
-  // A head dies. Membership takes seconds to know; until then its group would send calls by what each
-  // alone has under way, and the others would go on counting calls that nobody reports.
-  it('finds another head within a second when one falls silent', (t) => {
-    const world = createFleet(70, 3);
-    world.runPeriods(8);
-    const [dead] = world.heads;
-    world.silenced.add(dead as string);
-    for (const { self, loads } of world.fleet) {
-      if (self.name !== dead) loads.start(ENGINE, 500, world.getNow());
+  // Guards against outdated loads until membership detects the failure of an aggregator.
+  it('replaces a silent aggregator in less than two seconds', (t) => {
+    const cluster = createFleet(70, 3);
+    cluster.runPeriods(8);
+    const [failed] = cluster.aggregators;
+    cluster.disconnected.add(failed as string);
+    for (const { self, loads } of cluster.fleet) {
+      if (self.name !== failed) loads.start(ENGINE, 500, cluster.getNow());
     }
-    world.runPeriods(16);
-    const believed = world.fleet
-      .filter(({ self }) => self.name !== dead)
+    cluster.runPeriods(16);
+    const observed = cluster.fleet
+      .filter(({ self }) => self.name !== failed)
       .map(({ loads }) => loads.get('engine').running);
-    t.deepEqual(new Set(believed), new Set([69]));
+    t.deepEqual(new Set(observed), new Set([69]));
   });
 
-  it('keeps the tellings of one instance bounded, whatever the size of the fleet', (t) => {
-    const world = createFleet(300, 5);
-    world.runPeriods(8);
-    const counts = world.fleet.map(({ exchange, loads }) => {
-      loads.start(ENGINE, 500, world.getNow());
-      const tellings = exchange.advance(world.getNow() + TELL_PERIOD_MS);
-      return tellings.reduce((sum, { addresses }) => sum + addresses.length, 0);
+  it('bounds the updates sent by one instance in a large fleet', (t) => {
+    const cluster = createFleet(300, 5);
+    cluster.runPeriods(8);
+    const counts = cluster.fleet.map(({ exchange, loads }) => {
+      loads.start(ENGINE, 500, cluster.getNow());
+      const updates = exchange.advance(cluster.getNow() + TELL_PERIOD_MS);
+      return updates.reduce((sum, { addresses }) => sum + addresses.length, 0);
     });
     t.true(Math.max(...counts) <= 60, `${Math.max(...counts)} datagrams in a period`);
     t.is([...counts].sort((a, b) => a - b)[150], 1);
   });
 
-  it('tells which data centres are heard', (t) => {
-    const world = createFleet(70, 3);
-    world.runPeriods(8);
-    const head = world.fleet.find(({ self }) => self.name === world.heads[0]) as Instance;
-    for (const { self } of world.fleet) {
-      if (self.dataCentre === 'dc-2') world.silenced.add(self.name);
+  it('reports which data centres are heard', (t) => {
+    const cluster = createFleet(70, 3);
+    cluster.runPeriods(8);
+    const aggregator = cluster.fleet.find(
+      ({ self }) => self.name === cluster.aggregators[0],
+    ) as Instance;
+    for (const { self } of cluster.fleet) {
+      if (self.dataCentre === 'dc-2') cluster.disconnected.add(self.name);
     }
-    world.runPeriods(8);
-    head.loads.start(ENGINE, 500, world.getNow());
-    const table = head.exchange
-      .advance(world.getNow() + TELL_PERIOD_MS)
+    cluster.runPeriods(8);
+    aggregator.loads.start(ENGINE, 500, cluster.getNow());
+    const table = aggregator.exchange
+      .advance(cluster.getNow() + TELL_PERIOD_MS)
       .find(({ scope }) => scope === LOAD_SCOPE.Others);
     t.deepEqual([...(table?.heardDataCentres ?? [])].sort(), ['dc-0', 'dc-1']);
   });
 });
 
-describe('heads', ({ it }) => {
-  it('are everybody in a small fleet, and two of each data centre at least in a large one', (t) => {
+describe('aggregators', ({ it }) => {
+  it('are all instances of a small fleet and at least two per data centre of a large one', (t) => {
     const build = (count: number): LoadMember[] =>
       Array.from({ length: count }, (_, index) => ({
         name: `i-${index}`,
         address: `i-${index}:1`,
         dataCentre: `dc-${index % 5}`,
       }));
-    t.is(chooseHeads(build(9)).length, 9);
-    t.is(chooseHeads(build(30)).length, 10);
-    t.is(chooseHeads(build(195)).length, 15);
+    t.is(chooseAggregators(build(9)).length, 9);
+    t.is(chooseAggregators(build(30)).length, 10);
+    t.is(chooseAggregators(build(195)).length, 15);
   });
 
-  it('are shared out evenly', (t) => {
-    const heads = ['a', 'b', 'c'];
+  it('are preferred evenly', (t) => {
+    const aggregators = ['a', 'b', 'c'];
     const counts = new Map<string, number>();
     for (let index = 0; index < 300; index += 1) {
-      const [first = ''] = listHeadsFor(`i-${index}`, heads);
+      const [first = ''] = listAggregatorsFor(`i-${index}`, aggregators);
       counts.set(first, (counts.get(first) ?? 0) + 1);
     }
     t.true(Math.max(...counts.values()) < 150);
