--- a/src/cli/format-output.ts
+++ b/src/cli/format-output.ts
@@ -1,13 +1,13 @@
-/** Text for people, from what the tools know. */
+/** Formats results of the command-line tools as text. */
 import type { FileChange, FolderFiles } from '../configuration/manifest.js';
 import type { AuditRecord } from '../configuration/store.js';
 import type { DutyStatus } from '../duties/fleet-duties.js';
 import type { ListedCase } from '../quarantine/quarantine-api.js';
 import type { RouterStatus } from '../types/router-status.js';
 
-const HASH_SHOWN = 8;
+const SHORT_HASH_LENGTH = 8;
 
-/** Rows as columns that line up. */
+/** Formats rows as aligned columns. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
   for (const row of rows) {
@@ -25,27 +25,26 @@
     .join('\n');
 }
 
-function formatLines(before: string, after: string): string[] {
-  const old = new Set(before.split('\n'));
-  const fresh = new Set(after.split('\n'));
-  const removed = before.split('\n').filter((line) => !fresh.has(line));
-  const added = after.split('\n').filter((line) => !old.has(line));
+function formatLineDiff(before: string, after: string): string[] {
+  const beforeLines = new Set(before.split('\n'));
+  const afterLines = new Set(after.split('\n'));
+  const removed = before.split('\n').filter((line) => !afterLines.has(line));
+  const added = after.split('\n').filter((line) => !beforeLines.has(line));
   return [...removed.map((line) => `  - ${line}`), ...added.map((line) => `  + ${line}`)];
 }
 
-/** What the quarantine holds. */
-export function formatCases(cases: readonly ListedCase[]): string {
-  if (cases.length === 0) return 'nothing is held';
+export function formatQuarantine(cases: readonly ListedCase[]): string {
+  if (cases.length === 0) return 'no requests in quarantine';
   const rows = cases.map(({ content, standing, crashes, lastCrashAgoMs }) => [
     content,
     standing,
     `${crashes} endpoints`,
     `${Math.round(lastCrashAgoMs / 1000)} s ago`,
   ]);
-  return formatTable([['content', 'standing', 'ended under it', 'last'], ...rows]);
+  return formatTable([['content', 'state', 'crashed', 'last crash'], ...rows]);
 }
 
-/** What would change, file by file, line by line. */
+/** Formats the lines that differ, by file. */
 export function formatChanges(
   version: number,
   changes: readonly FileChange[],
@@ -56,12 +55,11 @@
   const lines = changes.flatMap((change) => {
     const state = change.before === undefined ? 'new' : 'changed';
     const title = `${change.after === undefined ? 'removed' : state} ${change.name}`;
-    return [title, ...formatLines(before.get(change.name) ?? '', after.get(change.name) ?? '')];
+    return [title, ...formatLineDiff(before.get(change.name) ?? '', after.get(change.name) ?? '')];
   });
-  return [`against version ${version}:`, ...lines].join('\n');
+  return [`changes since version ${version}:`, ...lines].join('\n');
 }
 
-/** The audit trail. */
 export function formatHistory(records: readonly AuditRecord[]): string {
   const rows = records.flatMap((record) =>
     record.changes.map((change) => [
@@ -69,14 +67,13 @@
       new Date(record.atMs).toISOString(),
       record.who,
       change.name,
-      `${change.before?.slice(0, HASH_SHOWN) ?? '(new)'} -> ${change.after?.slice(0, HASH_SHOWN) ?? '(removed)'}`,
+      `${change.before?.slice(0, SHORT_HASH_LENGTH) ?? '(new)'} -> ${change.after?.slice(0, SHORT_HASH_LENGTH) ?? '(removed)'}`,
       record.reason,
     ]),
   );
   return formatTable([['version', 'when', 'who', 'file', 'content', 'reason'], ...rows]);
 }
 
-/** The fleet as one router sees it. */
 export function formatStatus(status: RouterStatus): string {
   const members = status.members.map((member) => [
     member.name,
@@ -99,7 +96,7 @@
     formatTable([['instance', 'data centre', 'state', 'version'], ...members]),
     '',
     endpoints.length === 0
-      ? 'this router owns no shard now'
+      ? 'this router owns no shards'
       : formatTable([['endpoint', 'shard', 'status', 'slots', 'step'], ...endpoints]),
     '',
     `leaving endpoints: ${status.leavingEndpoints.join(', ') || 'none'}`,
@@ -107,17 +104,19 @@
   ].join('\n');
 }
 
-/** Who does the fleet's work, and what was ordered last. */
+/** Formats the holder of the fleet duties and, if it is this router, the requested scale of each pool. */
 export function formatDuties(duties: DutyStatus | null): string {
-  if (duties === null) return 'the platform asks for no duties; nothing to do';
+  if (duties === null) return 'the platform does not use fleet duties';
   const { holder, fence, isOwn, ageMs, unsentWindows, desired } = duties;
-  if (holder === undefined) return 'no holder is known yet; ask again in a few seconds';
-  const since = `since ${Math.round(ageMs / 1000)} s`;
-  const lines = [`holder ${holder}${isOwn ? ' (this router)' : ''}, number ${fence}, ${since}`];
-  if (!isOwn) return [...lines, 'ask the holder for what is reported and ordered'].join('\n');
+  if (holder === undefined) return 'the holder is not known yet; try again in a few seconds';
+  const since = `held for ${Math.round(ageMs / 1000)} s`;
+  const lines = [
+    `holder ${holder}${isOwn ? ' (this router)' : ''}, fencing token ${fence}, ${since}`,
+  ];
+  if (!isOwn) return [...lines, 'query the holder for its reports and scale requests'].join('\n');
   const orders = desired.map(
     ({ pool, dataCentre, isSpot, count }) =>
-      `${pool} in ${dataCentre}: ${count} ${isSpot ? 'that may be taken back' : 'lasting'}`,
+      `${pool} in ${dataCentre}: ${count} ${isSpot ? 'spot' : 'on-demand'}`,
   );
-  return [...lines, `windows of usage not taken yet: ${unsentWindows}`, ...orders].join('\n');
+  return [...lines, `usage windows not yet accepted: ${unsentWindows}`, ...orders].join('\n');
 }
--- a/src/configuration/compile-files.ts
+++ b/src/configuration/compile-files.ts
@@ -1,4 +1,4 @@
-/** Turns file texts into declarations; files that did not change are not parsed again. */
+/** Compiles declaration files; unchanged files are served from a parse cache. */
 import { Err } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
 import type { Declarations } from '../types/declarations.js';
@@ -13,32 +13,30 @@
   readonly parsed: ParsedFile;
 }
 
-/** Compiles folders into declarations. */
 export interface Compiler {
   build(files: FolderFiles, version: number): Result<Declarations, readonly DeclarationError[]>;
 }
 
-/** Builds a compiler with an empty cache. */
 export function createCompiler(): Compiler {
   let cache = new Map<string, CachedFile>();
   return {
     build(files, version) {
-      const next = new Map<string, CachedFile>();
+      const nextCache = new Map<string, CachedFile>();
       const errors: DeclarationError[] = [];
       for (const [name, text] of files) {
-        const known = cache.get(name);
-        if (known?.text === text) {
-          next.set(name, known);
+        const cached = cache.get(name);
+        if (cached?.text === text) {
+          nextCache.set(name, cached);
         } else {
           const result = parseDeclarationFile(name, text);
-          if (result.ok) next.set(name, { text, parsed: result.val });
+          if (result.ok) nextCache.set(name, { text, parsed: result.val });
           else errors.push(...result.val);
         }
       }
       if (errors.length > 0) return Err(errors);
-      cache = next;
+      cache = nextCache;
       return mergeFiles(
-        [...next.values()].map(({ parsed }) => parsed),
+        [...nextCache.values()].map(({ parsed }) => parsed),
         version,
       );
     },
--- a/src/configuration/merge-files.ts
+++ b/src/configuration/merge-files.ts
@@ -1,7 +1,4 @@
-/**
- * Merges checked files in the order of their names into one set of declarations. A name declared
- * twice and a name that refers to nothing are refused, each with file, line and remedy.
- */
+/** Merges declaration files and checks the result for duplicates and dangling references. */
 import type {
   ClassDeclaration,
   Declarations,
@@ -14,15 +11,14 @@
 import { SECTIONS } from './parse-file.js';
 import type { ParsedFile, Section } from './parse-file.js';
 
-/** Floors may promise this share of a shard in sum; the rest is the contest's. */
+/** Highest sum of all class floors; the rest of a shard is not reserved for any class. */
 export const FLOOR_SUM_MAX = 0.5;
 
 const KEY_PREFIX = 'sha256:';
 
-type Place = readonly [file: ParsedFile, path: readonly string[]];
+type Location = readonly [file: ParsedFile, path: readonly string[]];
 
-/** Builds the error for a place in a file. */
-function createError([file, path]: Place, message: string): DeclarationError {
+function createError([file, path]: Location, message: string): DeclarationError {
   return { file: file.name, line: file.getLine(path), message };
 }
 
@@ -80,7 +76,7 @@
         const owner = owners.get(key);
         owners.set(key, name);
         if (owner !== undefined) {
-          const message = `a key of ${name} also names ${owner}; make a new one with hyssoptally-ctl key`;
+          const message = `a key of ${name} is already declared for ${owner}; create a new one with hyssoptally-ctl key`;
           errors.push(createError([file, ['organisations', name, 'keys']], message));
         }
       }
@@ -113,7 +109,7 @@
     for (const [name, declaration] of Object.entries(file.content.classes)) {
       sum += declaration.floor;
       if (sum > FLOOR_SUM_MAX) {
-        const message = `floors sum to ${sum.toFixed(2)}, more than ${FLOOR_SUM_MAX}; lower some`;
+        const message = `class floors add up to ${sum.toFixed(2)}, more than ${FLOOR_SUM_MAX}; lower some of them`;
         return [createError([file, ['classes', name, 'floor']], message)];
       }
     }
@@ -146,19 +142,21 @@
   return pools;
 }
 
-/** Organisations of files that did not change are shared between versions: nearly all of them. */
+/** Caches organisations by parsed file, so that versions share those of unchanged files. */
 const organisationsOfFile = new WeakMap<ParsedFile, readonly OrganisationDeclaration[]>();
 
 function listOrganisations(file: ParsedFile): readonly OrganisationDeclaration[] {
-  const known = organisationsOfFile.get(file);
-  if (known !== undefined) return known;
-  const list = Object.entries(file.content.organisations).map(([name, { keys, ...rest }]) => ({
-    name,
-    keyHashes: keys.map((key) => key.slice(KEY_PREFIX.length)),
-    ...rest,
-  }));
-  organisationsOfFile.set(file, list);
-  return list;
+  const cached = organisationsOfFile.get(file);
+  if (cached !== undefined) return cached;
+  const fileOrganisations = Object.entries(file.content.organisations).map(
+    ([name, { keys, ...rest }]) => ({
+      name,
+      keyHashes: keys.map((key) => key.slice(KEY_PREFIX.length)),
+      ...rest,
+    }),
+  );
+  organisationsOfFile.set(file, fileOrganisations);
+  return fileOrganisations;
 }
 
 function buildOrganisations(files: readonly ParsedFile[]): Map<string, OrganisationDeclaration> {
@@ -171,7 +169,7 @@
   return organisations;
 }
 
-/** Merges files; the order of their names decides the order of everything in the result. */
+/** Merges files in the order of their names, so that the result does not depend on the input order. */
 export function mergeFiles(
   files: readonly ParsedFile[],
   version: number,
--- a/src/configuration/publish.ts
+++ b/src/configuration/publish.ts
@@ -1,6 +1,7 @@
 /**
- * Publishes a folder: uploads texts, then moves the head by compare-and-set together with an audit
- * record. Operators who race merge file by file; the same file changed by both is a conflict.
+ * Publishes a folder: uploads the files, then updates the head by compare-and-set in one transaction
+ * with an audit record. Concurrent publications are merged by file; if both changed the same file,
+ * the later one fails with a conflict.
  */
 import { PLATFORM_FAILURE } from '../storage/platform-error.js';
 import type { PlatformError } from '../storage/platform-error.js';
@@ -15,12 +16,11 @@
 import type { FileChange, FolderFiles, Manifest } from './manifest.js';
 import type { AuditRecord, ConfigurationStore } from './store.js';
 
-/** Compare-and-set rounds before giving up. */
+/** Attempts to rebase onto a concurrent publication. */
 const ROUNDS_MAX = 8;
-/** Times a write without an answer is sent again; the compare-and-set makes that safe. */
-const AMBIGUOUS_TRIES = 4;
+/** Attempts at a write that gets no response; the compare-and-set makes a retry safe. */
+const WRITE_ATTEMPTS_MAX = 4;
 
-/** Why a publication failed. */
 export type PublishError =
   | { readonly kind: 'invalid'; readonly errors: readonly DeclarationError[] }
   | {
@@ -32,17 +32,16 @@
     }
   | { readonly kind: 'unknown_base'; readonly version: number }
   | { readonly kind: 'raced'; readonly rounds: number }
-  /** The head may have moved: the answer was lost and nothing could be read back. */
+  /** The write got no response and its outcome could not be read back. */
   | { readonly kind: 'uncertain'; readonly publishId: string }
   | { readonly kind: 'platform'; readonly error: PlatformError };
 
-/** What to publish. */
 export interface PublishRequest {
-  /** The files as they shall be; with `only`, just those are looked at. */
+  /** The desired files; with `only`, all others are ignored. */
   readonly files: FolderFiles;
-  /** Names of the files this publication may change; undefined: all. */
+  /** Names of the files that may change; undefined for all. */
   readonly only: readonly string[] | undefined;
-  /** The version the files were edited from; undefined: the one in force now. */
+  /** The version the files were edited from; undefined for the current one. */
   readonly baseVersion: number | undefined;
   readonly who: string;
   readonly reason: string;
@@ -50,16 +49,14 @@
   readonly publishId: string;
 }
 
-/** A published configuration. */
 export interface Published {
   readonly version: number;
   readonly changes: readonly FileChange[];
   readonly declarations: Declarations;
 }
 
-const EMPTY: Manifest = { files: [] };
+const EMPTY_MANIFEST: Manifest = { files: [] };
 
-/** The error as a message that names the remedy. */
 export function formatPublishError(error: PublishError): string {
   switch (error.kind) {
     case 'invalid':
@@ -67,15 +64,15 @@
     case 'conflict':
       return (
         `${error.file} was changed by ${error.who} at ${new Date(error.atMs).toISOString()} ` +
-        `(version ${error.version}); look at hyssoptally-ctl diff, merge the file by hand, and ` +
+        `(version ${error.version}); run hyssoptally-ctl diff, merge the file by hand, and ` +
         `apply again with --base ${error.version}`
       );
     case 'unknown_base':
       return `version ${error.version} was never published; see hyssoptally-ctl history`;
     case 'raced':
-      return `others published ${error.rounds} times meanwhile; apply again`;
+      return `gave up after ${error.rounds} concurrent publications by others; apply again`;
     case 'uncertain':
-      return `the platform did not answer and publication ${error.publishId} may be in force; see hyssoptally-ctl history before applying again`;
+      return `no response from the platform; publication ${error.publishId} may have taken effect: check hyssoptally-ctl history before applying again`;
     default:
       return error.error.message;
   }
@@ -98,7 +95,7 @@
 async function loadHead(store: ConfigurationStore): Promise<Result<Head, PublishError>> {
   const head = await store.getHead();
   if (head.err) return Err({ kind: 'platform', error: head.val });
-  if (head.val === undefined) return Ok({ version: 0, manifest: EMPTY });
+  if (head.val === undefined) return Ok({ version: 0, manifest: EMPTY_MANIFEST });
   const { version, document } = head.val;
   const manifest = await loadManifest(store, document.manifestHash);
   return manifest.map((found) => ({ version, manifest: found }));
@@ -108,21 +105,21 @@
   store: ConfigurationStore,
   version: number,
 ): Promise<Result<Manifest, PublishError>> {
-  if (version === 0) return Ok(EMPTY);
+  if (version === 0) return Ok(EMPTY_MANIFEST);
   const record = await store.getAudit(version);
   if (record.err) return Err({ kind: 'platform', error: record.val });
   if (record.val === undefined) return Err({ kind: 'unknown_base', version });
   return loadManifest(store, record.val.manifestHash);
 }
 
-/** What the publisher wants changed against its base. */
+/** Lists the changes of a publication relative to its base version. */
 function listOwnChanges(request: PublishRequest, base: Manifest): FileChange[] {
   const changes = compareManifests(base, buildManifest(request.files));
   const { only } = request;
   return only === undefined ? changes : changes.filter((change) => only.includes(change.name));
 }
 
-async function findAuthor(
+async function buildConflictError(
   store: ConfigurationStore,
   file: string,
   sinceVersion: number,
@@ -140,14 +137,15 @@
   };
 }
 
-/** The first file that both sides changed, to different ends. */
+/** Finds the first file that both sides changed to different content. */
 function findConflict(
-  own: readonly FileChange[],
-  theirs: readonly FileChange[],
+  ownChanges: readonly FileChange[],
+  otherChanges: readonly FileChange[],
 ): string | undefined {
-  const changed = new Map(theirs.map((change) => [change.name, change.after]));
-  return own.find((change) => changed.has(change.name) && changed.get(change.name) !== change.after)
-    ?.name;
+  const changed = new Map(otherChanges.map((change) => [change.name, change.after]));
+  return ownChanges.find(
+    (change) => changed.has(change.name) && changed.get(change.name) !== change.after,
+  )?.name;
 }
 
 function applyChanges(manifest: Manifest, changes: readonly FileChange[]): Manifest {
@@ -166,13 +164,13 @@
 async function loadFiles(
   store: ConfigurationStore,
   manifest: Manifest,
-  known: ReadonlyMap<string, string>,
+  cachedTexts: ReadonlyMap<string, string>,
 ): Promise<Result<FolderFiles, PublishError>> {
   const files = new Map<string, string>();
   for (const { name, hash } of manifest.files) {
-    const text = known.get(hash);
+    const text = cachedTexts.get(hash);
     if (text === undefined) {
-      // One after the other: a publication is rare and must not crowd the store.
+      // Sequential, to limit the load on the store.
       // eslint-disable-next-line no-await-in-loop
       const loaded = await store.getText(hash);
       if (loaded.err) return Err({ kind: 'platform', error: loaded.val });
@@ -184,7 +182,10 @@
   return Ok(files);
 }
 
-/** Whether the audit trail shows this publication at its version, whoever published after it. */
+/**
+ * Whether the audit record of this version is this publication's. Unlike the head, the record stays
+ * when others publish later versions. Undefined if it could not be read.
+ */
 async function isPublished(
   store: ConfigurationStore,
   record: AuditRecord,
@@ -194,24 +195,27 @@
   return found.val?.publishId === record.publishId;
 }
 
-type WriteVerdict = 'published' | 'lost_race' | 'uncertain' | PlatformError;
+type WriteOutcome = 'published' | 'lost_race' | 'uncertain' | PlatformError;
 
 /**
- * Moves the head. Guards against an answer lost after the write took effect: it shows as a timeout
- * on a publication that is in force. The same compare-and-set is sent again with the same id; it can
- * take effect once only, and the audit record tells whose it was.
+ * Updates the head. The response may be lost after the write took effect, so the same compare-and-set
+ * is retried: it succeeds at most once, and the id in the audit record identifies the writer.
  */
-async function storeRecord(store: ConfigurationStore, record: AuditRecord): Promise<WriteVerdict> {
-  for (let tries = 0; tries < AMBIGUOUS_TRIES; tries += 1) {
+async function publishRecord(
+  store: ConfigurationStore,
+  record: AuditRecord,
+): Promise<WriteOutcome> {
+  // Sequential: an attempt is made only if the previous one had no clear outcome.
+  for (let attempt = 0; attempt < WRITE_ATTEMPTS_MAX; attempt += 1) {
     // eslint-disable-next-line no-await-in-loop
     const written = await store.publish(record);
     if (written.ok) return 'published';
     const isAmbiguous = written.val.kind === PLATFORM_FAILURE.Ambiguous;
-    if (written.val.kind === PLATFORM_FAILURE.Rejected && tries === 0) return written.val;
+    if (written.val.kind === PLATFORM_FAILURE.Rejected && attempt === 0) return written.val;
     // eslint-disable-next-line no-await-in-loop
-    const isMine = await isPublished(store, record);
-    if (isMine === true) return 'published';
-    if (isMine === false && !isAmbiguous) return 'lost_race';
+    const isOwn = await isPublished(store, record);
+    if (isOwn === true) return 'published';
+    if (isOwn === false && !isAmbiguous) return 'lost_race';
   }
   return 'uncertain';
 }
@@ -220,6 +224,7 @@
   store: ConfigurationStore,
   texts: readonly string[],
 ): Promise<Result<void, PublishError>> {
+  // Sequential, to limit the load on the store.
   for (const text of texts) {
     // eslint-disable-next-line no-await-in-loop
     const stored = await store.storeText(text);
@@ -228,29 +233,29 @@
   return Ok(undefined);
 }
 
-/** Publishes files; returns the version they are in force as. */
 export async function publishFiles(
   store: ConfigurationStore,
   request: PublishRequest,
 ): Promise<Result<Published, PublishError>> {
-  const first = await loadHead(store);
-  if (first.err) return first;
-  const { baseVersion = first.val.version } = request;
+  const initialHead = await loadHead(store);
+  if (initialHead.err) return initialHead;
+  const { baseVersion = initialHead.val.version } = request;
   const base =
-    baseVersion === first.val.version
-      ? Ok(first.val.manifest)
+    baseVersion === initialHead.val.version
+      ? Ok(initialHead.val.manifest)
       : await loadVersion(store, baseVersion);
   if (base.err) return base;
-  const own = listOwnChanges(request, base.val);
+  const ownChanges = listOwnChanges(request, base.val);
   const texts = new Map([...request.files.values()].map((text) => [hashText(text), text]));
   const compiler = createCompiler();
-  let head = first.val;
+  let head = initialHead.val;
+  // Sequential: each round rebases onto the head read at the end of the previous one.
   for (let round = 0; round < ROUNDS_MAX; round += 1) {
-    const theirs = compareManifests(base.val, head.manifest);
-    const conflict = findConflict(own, theirs);
+    const otherChanges = compareManifests(base.val, head.manifest);
+    const conflict = findConflict(ownChanges, otherChanges);
     // eslint-disable-next-line no-await-in-loop
-    if (conflict !== undefined) return Err(await findAuthor(store, conflict, baseVersion));
-    const manifest = applyChanges(head.manifest, own);
+    if (conflict !== undefined) return Err(await buildConflictError(store, conflict, baseVersion));
+    const manifest = applyChanges(head.manifest, ownChanges);
     // eslint-disable-next-line no-await-in-loop
     const files = await loadFiles(store, manifest, texts);
     if (files.err) return files;
@@ -267,7 +272,7 @@
     const stored = await storeTexts(store, [...added, manifestText]);
     if (stored.err) return stored;
     // eslint-disable-next-line no-await-in-loop
-    const verdict = await storeRecord(store, {
+    const outcome = await publishRecord(store, {
       version,
       fromVersion: head.version,
       who: request.who,
@@ -277,9 +282,9 @@
       reason: request.reason,
       changes,
     });
-    if (verdict === 'published') return Ok({ version, changes, declarations: declarations.val });
-    if (verdict === 'uncertain') return Err({ kind: 'uncertain', publishId: request.publishId });
-    if (verdict !== 'lost_race') return Err({ kind: 'platform', error: verdict });
+    if (outcome === 'published') return Ok({ version, changes, declarations: declarations.val });
+    if (outcome === 'uncertain') return Err({ kind: 'uncertain', publishId: request.publishId });
+    if (outcome !== 'lost_race') return Err({ kind: 'platform', error: outcome });
     // eslint-disable-next-line no-await-in-loop
     const next = await loadHead(store);
     if (next.err) return next;
@@ -288,16 +293,16 @@
   return Err({ kind: 'raced', rounds: ROUNDS_MAX });
 }
 
-/** The files of a published version, for diff and rollback. */
+/** Loads the files of a published version, by default the current one. */
 export async function loadPublished(
   store: ConfigurationStore,
   version: number | undefined,
 ): Promise<Result<{ readonly version: number; readonly files: FolderFiles }, PublishError>> {
   const head = await loadHead(store);
   if (head.err) return head;
-  const wanted = version ?? head.val.version;
-  const manifest = await loadVersion(store, wanted);
+  const requestedVersion = version ?? head.val.version;
+  const manifest = await loadVersion(store, requestedVersion);
   if (manifest.err) return manifest;
   const files = await loadFiles(store, manifest.val, new Map());
-  return files.map((loaded) => ({ version: wanted, files: loaded }));
+  return files.map((loaded) => ({ version: requestedVersion, files: loaded }));
 }
