--- a/src/claims/attempt-ledger.ts
+++ b/src/claims/attempt-ledger.ts
@@ -14,7 +14,7 @@
 export type AttemptState = (typeof ATTEMPT_STATE)[keyof typeof ATTEMPT_STATE];
 
 /** Attempts remembered; an attempt that was forgotten is unknown, which proves nothing. */
-const ATTEMPTS_KEPT = 20_000;
+const ATTEMPTS_MAX = 20_000;
 
 /** The ledger of one entry. */
 export interface AttemptLedger {
@@ -28,7 +28,7 @@
 
 /** Builds an empty ledger. */
 export function createAttemptLedger(): AttemptLedger {
-  const attempts = createBoundedMap<string, AttemptState>(ATTEMPTS_KEPT);
+  const attempts = createBoundedMap<string, AttemptState>(ATTEMPTS_MAX);
   return {
     add(attemptId) {
       attempts.set(attemptId, ATTEMPT_STATE.Pending);
--- a/src/claims/claim.test.ts
+++ b/src/claims/claim.test.ts
@@ -3,7 +3,7 @@
 import { OUTCOME } from '../types/outcomes.js';
 import { createAttemptLedger } from './attempt-ledger.js';
 import type { AttemptLedger } from './attempt-ledger.js';
-import { CLAIM_FRESH_MS, createClaim } from './claim.js';
+import { CLAIM_SEND_WINDOW_MS, createClaim } from './claim.js';
 import type { AttemptVerdict, Claim, ClaimCommand, ReadClaim, WriteEnding } from './claim.js';
 import { CLAIM_RETENTION_MS, CLAIM_STATE } from './claim-document.js';
 import type { ClaimDocument } from './claim-document.js';
@@ -13,7 +13,7 @@
 /** One key's item in the table, with writes that may land late. */
 function createFakeItem() {
   let item: ReadClaim | undefined;
-  const late: (() => void)[] = [];
+  const delayedWrites: (() => void)[] = [];
 
   function applyInsert(document: ClaimDocument): boolean {
     if (item !== undefined) return false;
@@ -31,9 +31,9 @@
     read: () => item,
     applyInsert,
     applyReplace,
-    late,
-    land() {
-      late.shift()?.();
+    delayedWrites,
+    applyDelayed() {
+      delayedWrites.shift()?.();
     },
   };
 }
@@ -41,17 +41,17 @@
 type FakeItem = ReturnType<typeof createFakeItem>;
 
 /** How the table treats the next write. */
-type WriteFate = 'fine' | 'answer_lost' | 'late' | 'never';
+type WriteFault = 'fine' | 'answer_lost' | 'late' | 'never';
 
-function runWrite(item: FakeItem, fate: WriteFate, write: () => boolean): WriteEnding {
-  switch (fate) {
+function runWrite(item: FakeItem, fault: WriteFault, write: () => boolean): WriteEnding {
+  switch (fault) {
     case 'fine':
       return write() ? 'written' : 'conflict';
     case 'answer_lost':
       write();
       return 'ambiguous';
     case 'late':
-      item.late.push(write);
+      item.delayedWrites.push(write);
       return 'ambiguous';
     default:
       return 'ambiguous';
@@ -86,16 +86,21 @@
 }
 
 /** Carries out one command of an attempt. */
-function runStep(item: FakeItem, attempts: readonly Attempt[], attempt: Attempt, fate: WriteFate) {
+function runStep(
+  item: FakeItem,
+  attempts: readonly Attempt[],
+  attempt: Attempt,
+  fault: WriteFault,
+) {
   const { claim, command } = attempt;
   switch (command.kind) {
     case 'insert': {
-      const ending = runWrite(item, fate, () => item.applyInsert(command.document));
+      const ending = runWrite(item, fault, () => item.applyInsert(command.document));
       attempt.command = claim.handle({ kind: 'inserted', ending });
       break;
     }
     case 'take_over': {
-      const ending = runWrite(item, fate, () =>
+      const ending = runWrite(item, fault, () =>
         item.applyReplace(command.document, command.expectedVersion),
       );
       attempt.command = claim.handle({ kind: 'taken_over', ending });
@@ -103,7 +108,7 @@
     }
     case 'read':
       attempt.command = claim.handle(
-        fate === 'never'
+        fault === 'never'
           ? { kind: 'read_failed' }
           : { kind: 'read', claim: item.read(), wallMs: 1 },
       );
@@ -111,7 +116,7 @@
     case 'query':
       attempt.command = claim.handle({
         kind: 'answered',
-        verdict: fate === 'never' ? 'unknown' : getVerdict(attempts, command.attemptId),
+        verdict: fault === 'never' ? 'unknown' : getVerdict(attempts, command.attemptId),
       });
       break;
     case 'proceed':
@@ -121,11 +126,11 @@
     default:
       break;
   }
-  const isGivenUp = attempt.command.kind === 'refuse' || attempt.command.kind === 'replay';
-  if (isGivenUp) attempt.ledger.remove(attempt.attemptId);
+  const isClosed = attempt.command.kind === 'refuse' || attempt.command.kind === 'replay';
+  if (isClosed) attempt.ledger.remove(attempt.attemptId);
 }
 
-const fateArbitrary = fc.constantFrom<WriteFate>('fine', 'answer_lost', 'late', 'never');
+const faultArbitrary = fc.constantFrom<WriteFault>('fine', 'answer_lost', 'late', 'never');
 
 describe('claim', ({ describe: describeInner, it }) => {
   it('lets one attempt run at most, whatever the table and the entries do', (t) => {
@@ -135,9 +140,9 @@
       fc.array(
         fc.record({
           attempt: fc.integer({ min: 0, max: 3 }),
-          fate: fateArbitrary,
-          lands: fc.boolean(),
-          givesUp: fc.integer({ min: 0, max: 9 }).map((draw) => draw === 0),
+          fault: faultArbitrary,
+          isDelayedApplied: fc.boolean(),
+          isAbandoning: fc.integer({ min: 0, max: 9 }).map((draw) => draw === 0),
         }),
         { maxLength: 60 },
       ),
@@ -150,16 +155,16 @@
         for (const step of steps) {
           const attempt = attempts[step.attempt] as Attempt;
           // Giving up is a promise never to send, unless it was sent already.
-          if (step.givesUp) attempt.ledger.remove(attempt.attemptId);
-          runStep(item, attempts, attempt, step.fate);
-          if (step.lands) item.land();
+          if (step.isAbandoning) attempt.ledger.remove(attempt.attemptId);
+          runStep(item, attempts, attempt, step.fault);
+          if (step.isDelayedApplied) item.applyDelayed();
         }
         const runs = attempts.reduce((sum, attempt) => sum + attempt.runs, 0);
-        const isTold = attempts.every(
+        const areRefusalsCorrect = attempts.every(
           ({ command, runs: own }) =>
             command.kind !== 'refuse' || command.failure.outcome !== OUTCOME.NotRun || own === 0,
         );
-        return runs <= 1 && isTold;
+        return runs <= 1 && areRefusalsCorrect;
       },
     );
     t.notThrows(() => fc.assert(property, { seed: 11, numRuns: 5000 }));
@@ -173,7 +178,7 @@
     runStep(item, [attempt], attempt, 'late');
     runStep(item, [attempt], attempt, 'fine');
     t.is(attempt.command.kind, 'refuse');
-    item.land();
+    item.applyDelayed();
     t.false(attempt.ledger.take('a0'));
     const second = startAttempt('a1', createAttemptLedger());
     while (!isEnded(second.command)) runStep(item, [attempt, second], second, 'fine');
@@ -181,7 +186,7 @@
   });
 
   describeInner('a key found in use', ({ it: itInner }) => {
-    function handleForeign(document: Partial<ClaimDocument>, wallMs = 1): ClaimCommand {
+    function handleExistingClaim(document: Partial<ClaimDocument>, wallMs = 1): ClaimCommand {
       const claim = createClaim({ attemptId: 'mine', entry: 'entry', bodyHash: BODY });
       claim.handle({ kind: 'start', monotonicMs: 0, wallMs });
       claim.handle({ kind: 'inserted', ending: 'conflict' });
@@ -197,13 +202,16 @@
     }
 
     itInner('with another body is refused', (t) => {
-      const command = handleForeign({ bodyHash: 'another' });
+      const command = handleExistingClaim({ bodyHash: 'another' });
       t.is(command.kind === 'refuse' && command.failure.type, 'idempotency_key_reused');
     });
 
     itInner('that is done is replayed', (t) => {
       const answer = { status: 200, contentType: 'text/plain', body: 'done' };
-      t.deepEqual(handleForeign({ state: CLAIM_STATE.Done, answer }), { kind: 'replay', answer });
+      t.deepEqual(handleExistingClaim({ state: CLAIM_STATE.Done, answer }), {
+        kind: 'replay',
+        answer,
+      });
     });
 
     itInner('of an entry that cannot be asked may have run', (t) => {
@@ -225,7 +233,7 @@
     });
 
     itInner('is taken over once it is older than the retention', (t) => {
-      t.is(handleForeign({}, CLAIM_RETENTION_MS + 2).kind, 'take_over');
+      t.is(handleExistingClaim({}, CLAIM_RETENTION_MS + 2).kind, 'take_over');
     });
   });
 
@@ -234,9 +242,9 @@
     // clock the claim is old, and sending now might run what another entry has taken over.
     const claim = createClaim({ attemptId: 'a', entry: 'entry', bodyHash: BODY });
     claim.handle({ kind: 'start', monotonicMs: 1000, wallMs: 5_000_000 });
-    t.true(claim.isFresh(1000 + CLAIM_FRESH_MS - 1, 5_000_000));
-    t.false(claim.isFresh(1000 + CLAIM_FRESH_MS, 5_000_000));
-    t.false(claim.isFresh(1000, 5_000_000 + CLAIM_FRESH_MS));
-    t.false(claim.isFresh(1000, 5_000_000 - CLAIM_FRESH_MS));
+    t.true(claim.isFresh(1000 + CLAIM_SEND_WINDOW_MS - 1, 5_000_000));
+    t.false(claim.isFresh(1000 + CLAIM_SEND_WINDOW_MS, 5_000_000));
+    t.false(claim.isFresh(1000, 5_000_000 + CLAIM_SEND_WINDOW_MS));
+    t.false(claim.isFresh(1000, 5_000_000 - CLAIM_SEND_WINDOW_MS));
   });
 });
--- a/src/claims/claim.ts
+++ b/src/claims/claim.ts
@@ -14,8 +14,8 @@
 import type { ClaimDocument, StoredAnswer } from './claim-document.js';
 
 /** An attempt must be sent within this time of starting to claim, by either clock. */
-export const CLAIM_FRESH_MS = 60_000;
-const RETRY_SOON_MS = 1000;
+export const CLAIM_SEND_WINDOW_MS = 60_000;
+const RETRY_AFTER_MS = 1000;
 
 /** How a write ended. */
 export type WriteEnding = 'written' | 'conflict' | 'rejected' | 'ambiguous';
@@ -73,15 +73,15 @@
   let startedMonotonicMs = 0;
   let startedWallMs = 0;
   /** The write whose answer is not known: nothing else may make this attempt go on. */
-  let doubtful: { kind: 'insert' } | { kind: 'take_over'; version: number } | undefined;
-  let foreign: ReadClaim | undefined;
+  let ambiguousWrite: { kind: 'insert' } | { kind: 'take_over'; version: number } | undefined;
+  let existingClaim: ReadClaim | undefined;
 
   function buildDocument(state: ClaimDocument['state'], answer?: StoredAnswer): ClaimDocument {
     const document = { attemptId, entry, bodyHash, state, claimedWallMs: startedWallMs };
     return answer === undefined ? document : { ...document, answer };
   }
 
-  function refuseUnclaimed(): ClaimCommand {
+  function refuseUnconfirmed(): ClaimCommand {
     return {
       kind: 'refuse',
       failure: {
@@ -89,7 +89,7 @@
         message:
           'the platform cannot confirm that this request runs once, so it was not run; send it again with the same Idempotency-Key',
         outcome: OUTCOME.NotRun,
-        retryAfterMs: RETRY_SOON_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       },
     };
   }
@@ -102,13 +102,13 @@
         message:
           'a request with this Idempotency-Key was accepted before and may have run; check its effect, or ask again later for its answer',
         outcome: OUTCOME.MayHaveRun,
-        retryAfterMs: RETRY_SOON_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       },
     };
   }
 
   function takeOver(claim: ReadClaim): ClaimCommand {
-    foreign = claim;
+    existingClaim = claim;
     return {
       kind: 'take_over',
       document: buildDocument(CLAIM_STATE.Claimed),
@@ -116,7 +116,7 @@
     };
   }
 
-  function handleForeign(claim: ReadClaim, wallMs: number): ClaimCommand {
+  function handleExistingClaim(claim: ReadClaim, wallMs: number): ClaimCommand {
     const { document } = claim;
     const isExpired = wallMs - document.claimedWallMs > CLAIM_RETENTION_MS;
     if (isExpired) return takeOver(claim);
@@ -141,7 +141,7 @@
       case CLAIM_STATE.Unknown:
         return refuseInUse();
       case CLAIM_STATE.Claimed:
-        foreign = claim;
+        existingClaim = claim;
         return { kind: 'query', entry: document.entry, attemptId: document.attemptId };
       default:
         return assertNever(document.state);
@@ -150,15 +150,20 @@
 
   function handleRead(claim: ReadClaim | undefined, wallMs: number): ClaimCommand {
     // Absent after a doubtful insert: the insert may still land, so this attempt must not go on.
-    if (claim === undefined) return refuseUnclaimed();
+    if (claim === undefined) return refuseUnconfirmed();
     if (claim.document.attemptId === attemptId) return { kind: 'proceed', version: claim.version };
     // After a doubtful takeover the claim may yet become ours without our knowing: stop here.
-    if (doubtful !== undefined)
-      return doubtful.kind === 'insert' ? handleForeign(claim, wallMs) : refuseUnclaimed();
-    return handleForeign(claim, wallMs);
+    if (ambiguousWrite !== undefined)
+      return ambiguousWrite.kind === 'insert'
+        ? handleExistingClaim(claim, wallMs)
+        : refuseUnconfirmed();
+    return handleExistingClaim(claim, wallMs);
   }
 
-  function handleWrite(ending: WriteEnding, write: NonNullable<typeof doubtful>): ClaimCommand {
+  function handleWrite(
+    ending: WriteEnding,
+    write: NonNullable<typeof ambiguousWrite>,
+  ): ClaimCommand {
     switch (ending) {
       case 'written':
         return { kind: 'proceed', version: write.kind === 'insert' ? 1 : write.version + 1 };
@@ -166,10 +171,10 @@
         if (write.kind === 'take_over') return refuseInUse();
         return { kind: 'read' };
       case 'ambiguous':
-        doubtful = write;
+        ambiguousWrite = write;
         return { kind: 'read' };
       case 'rejected':
-        return refuseUnclaimed();
+        return refuseUnconfirmed();
       default:
         return assertNever(ending);
     }
@@ -185,22 +190,25 @@
         case 'inserted':
           return handleWrite(message.ending, { kind: 'insert' });
         case 'taken_over':
-          return handleWrite(message.ending, { kind: 'take_over', version: foreign?.version ?? 0 });
+          return handleWrite(message.ending, {
+            kind: 'take_over',
+            version: existingClaim?.version ?? 0,
+          });
         case 'read':
           return handleRead(message.claim, message.wallMs);
         case 'read_failed':
-          return refuseUnclaimed();
+          return refuseUnconfirmed();
         case 'answered':
-          if (message.verdict !== 'abandoned' || foreign === undefined) return refuseInUse();
-          return takeOver(foreign);
+          if (message.verdict !== 'abandoned' || existingClaim === undefined) return refuseInUse();
+          return takeOver(existingClaim);
         default:
           return assertNever(message);
       }
     },
     isFresh(monotonicMs, wallMs) {
       // A suspended machine's monotonic clock may stand still; a stepped wall clock may go back.
-      const isMonotonicFresh = monotonicMs - startedMonotonicMs < CLAIM_FRESH_MS;
-      const isWallFresh = Math.abs(wallMs - startedWallMs) < CLAIM_FRESH_MS;
+      const isMonotonicFresh = monotonicMs - startedMonotonicMs < CLAIM_SEND_WINDOW_MS;
+      const isWallFresh = Math.abs(wallMs - startedWallMs) < CLAIM_SEND_WINDOW_MS;
       return isMonotonicFresh && isWallFresh;
     },
     buildDocument,
--- a/src/directory/endpoint-directory.test.ts
+++ b/src/directory/endpoint-directory.test.ts
@@ -2,7 +2,7 @@
 import { describe } from '../test/describe.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { buildStartId } from './start-id.js';
-import { RENEWAL_MS, createEndpointDirectory } from './endpoint-directory.js';
+import { RENEWAL_WINDOW_MS, createEndpointDirectory } from './endpoint-directory.js';
 import type { DirectoryMessage } from './endpoint-directory.js';
 
 function buildEndpoint(id: string, isLeaving = false, startedMs = 1): RegisteredEndpoint {
@@ -47,9 +47,9 @@
       directory.handle({ kind: 'listed', endpoints: [] }, 5001);
       t.is(directory.listOpen('p').length, 2);
       directory.handle({ kind: 'registered', endpoint: buildEndpoint('a') }, 6000);
-      directory.handle({ kind: 'tick' }, 5000 + RENEWAL_MS - 1);
+      directory.handle({ kind: 'tick' }, 5000 + RENEWAL_WINDOW_MS - 1);
       t.is(directory.listOpen('p').length, 2);
-      const changes = directory.handle({ kind: 'tick' }, 5000 + RENEWAL_MS);
+      const changes = directory.handle({ kind: 'tick' }, 5000 + RENEWAL_WINDOW_MS);
       t.deepEqual(changes, [{ endpoint: buildEndpoint('b'), change: 'removed' }]);
     });
 
@@ -166,7 +166,7 @@
             for (const [id, row] of rows) t.is(directory.find(id)?.startId, row.startId);
           });
           directory.handle({ kind: 'source_back' }, 1000);
-          directory.handle({ kind: 'tick' }, 1000 + RENEWAL_MS);
+          directory.handle({ kind: 'tick' }, 1000 + RENEWAL_WINDOW_MS);
           t.is(directory.listOpen('p').length, rows.size);
         }),
       );
--- a/src/directory/endpoint-directory.ts
+++ b/src/directory/endpoint-directory.ts
@@ -7,7 +7,7 @@
 import { assertNever } from '../utils/assert-never.js';
 
 /** An endpoint that lives has renewed its entry this long after the registry's return, in milliseconds: the platform's promise. */
-export const RENEWAL_MS = 2000;
+export const RENEWAL_WINDOW_MS = 2000;
 
 /** What the directory is told. */
 export type DirectoryMessage =
@@ -50,7 +50,7 @@
 /** Builds an empty directory. */
 export function createEndpointDirectory(): EndpointDirectory {
   const entries = new Map<string, Entry>();
-  let openOfPool = new Map<string, RegisteredEndpoint[]>();
+  let openByPool = new Map<string, RegisteredEndpoint[]>();
   let isSourceLost = false;
   /** Lapsed entries may be renewed until then. */
   let renewalEndMs = -Infinity;
@@ -79,10 +79,10 @@
   function handleRemoved(id: string, nowMs: number): void {
     const entry = entries.get(id);
     if (entry === undefined || entry.isLapsed) return;
-    const isRenewalDue = isSourceLost || nowMs < renewalEndMs;
+    const isRenewalPossible = isSourceLost || nowMs < renewalEndMs;
     // Guards against emptying a pool whose entries lapsed with the registry: it shows as every
     // endpoint vanishing at the registry's return although all of them answer.
-    if (isRenewalDue && !entry.endpoint.isLeaving) {
+    if (isRenewalPossible && !entry.endpoint.isLeaving) {
       entry.isLapsed = true;
       recordChange(entry.endpoint, 'lapsed');
       return;
@@ -125,7 +125,7 @@
         isSourceLost = true;
         break;
       case 'source_back':
-        renewalEndMs = nowMs + RENEWAL_MS;
+        renewalEndMs = nowMs + RENEWAL_WINDOW_MS;
         isSourceLost = false;
         break;
       case 'renewing':
@@ -143,12 +143,12 @@
   }
 
   function updateOpen(): void {
-    openOfPool = new Map();
+    openByPool = new Map();
     for (const { endpoint } of entries.values()) {
       if (!endpoint.isLeaving) {
-        const open = openOfPool.get(endpoint.pool) ?? [];
+        const open = openByPool.get(endpoint.pool) ?? [];
         open.push(endpoint);
-        openOfPool.set(endpoint.pool, open);
+        openByPool.set(endpoint.pool, open);
       }
     }
   }
@@ -160,7 +160,7 @@
       if (message.kind !== 'tick' || changes.length > 0) updateOpen();
       return changes;
     },
-    listOpen: (pool) => openOfPool.get(pool) ?? [],
+    listOpen: (pool) => openByPool.get(pool) ?? [],
     find: (id) => entries.get(id)?.endpoint,
     computeRenewalLeft: (nowMs) => (isSourceLost ? 0 : Math.max(0, renewalEndMs - nowMs)),
     listAll: () => [...entries.values()].map(({ endpoint }) => endpoint),
--- a/src/directory/start-id.ts
+++ b/src/directory/start-id.ts
@@ -4,7 +4,7 @@
  * start they were gained from.
  */
 
-const START_RADIX = 36;
+const START_TIME_RADIX = 36;
 
 /**
  * Names the start of an endpoint at `startedMs`, the moment of its start by its own clock, in
@@ -12,5 +12,5 @@
  * may step back between two starts.
  */
 export function buildStartId(id: string, startedMs: number | undefined): string {
-  return startedMs === undefined ? id : `${id}@${startedMs.toString(START_RADIX)}`;
+  return startedMs === undefined ? id : `${id}@${startedMs.toString(START_TIME_RADIX)}`;
 }
--- a/src/knowledge/behind-detector.ts
+++ b/src/knowledge/behind-detector.ts
@@ -4,32 +4,32 @@
  */
 
 /** A watcher that others are ahead of for this long, in milliseconds, doubts its own connection: a change is told to all watchers within some tens. */
-const BEHIND_MAX_MS = 700;
+const FEED_LAG_MAX_MS = 700;
 
 /** Doubts the own feed. */
 export interface BehindDetector {
   /** A peer told of a revision; whether the own feed has been behind for so long that it is doubted. */
-  checkBehind(toldRevision: number, ownRevision: number, nowMs: number): boolean;
+  checkBehind(peerRevision: number, ownRevision: number, nowMs: number): boolean;
   /** The own feed is not in use. */
   stop(): void;
 }
 
 /** Builds a detector that doubts nothing. */
 export function createBehindDetector(): BehindDetector {
-  let behindSinceMs: number | undefined;
+  let laggingSinceMs: number | undefined;
   return {
-    checkBehind(toldRevision, ownRevision, nowMs) {
-      if (toldRevision <= ownRevision) {
-        behindSinceMs = undefined;
+    checkBehind(peerRevision, ownRevision, nowMs) {
+      if (peerRevision <= ownRevision) {
+        laggingSinceMs = undefined;
         return false;
       }
-      behindSinceMs ??= nowMs;
-      if (nowMs - behindSinceMs < BEHIND_MAX_MS) return false;
-      behindSinceMs = undefined;
+      laggingSinceMs ??= nowMs;
+      if (nowMs - laggingSinceMs < FEED_LAG_MAX_MS) return false;
+      laggingSinceMs = undefined;
       return true;
     },
     stop() {
-      behindSinceMs = undefined;
+      laggingSinceMs = undefined;
     },
   };
 }
--- a/src/knowledge/feed-watcher.test.ts
+++ b/src/knowledge/feed-watcher.test.ts
@@ -18,11 +18,11 @@
 /** Runs a watcher on scripted answers; the last one never comes. */
 async function runWatcher(answers: readonly FeedAnswer[]) {
   const calls: Call[] = [];
-  const told: string[] = [];
+  const events: string[] = [];
   let resets = 0;
   const timers = createTimerService(createSystemClock());
   const done = new Promise<void>((resolve) => {
-    const sendNext = async (call: Call): Promise<FeedAnswer> => {
+    const takeNextResponse = async (call: Call): Promise<FeedAnswer> => {
       const next = answers[calls.length];
       calls.push(call);
       if (next !== undefined) return next;
@@ -30,8 +30,8 @@
       return NEVER;
     };
     const reader: FeedReader = {
-      list: () => sendNext({ kind: 'list' }),
-      watch: (_, waitMs) => sendNext({ kind: 'watch', waitMs }),
+      list: () => takeNextResponse({ kind: 'list' }),
+      watch: (_, waitMs) => takeNextResponse({ kind: 'watch', waitMs }),
       reset() {
         resets += 1;
       },
@@ -42,21 +42,21 @@
       random: createRandom(1),
       getWaitMs: () => 1500,
       listener: {
-        onListed: (_, { revision }) => told.push(`listed ${revision}`),
-        onChanged: (_, { revision }) => told.push(`changed ${revision}`),
-        onLost: (reason) => told.push(`lost ${reason}`),
+        onListed: (_, { revision }) => events.push(`listed ${revision}`),
+        onChanged: (_, { revision }) => events.push(`changed ${revision}`),
+        onLost: (reason) => events.push(`lost ${reason}`),
       },
     });
   });
   await done;
   timers.stop();
-  return { calls, told, resets };
+  return { calls, events, resets };
 }
 
 describe('feed watcher', ({ it }) => {
   it('lists once, then watches', async (t) => {
-    const { calls, told } = await runWatcher([buildRows(5), buildRows(6)]);
-    t.deepEqual(told, ['listed 5', 'changed 6']);
+    const { calls, events } = await runWatcher([buildRows(5), buildRows(6)]);
+    t.deepEqual(events, ['listed 5', 'changed 6']);
     t.deepEqual(
       calls.map(({ kind }) => kind),
       ['list', 'watch', 'watch'],
@@ -66,25 +66,25 @@
   // The source forgets its history; the list that follows is read from a copy that lags behind, in
   // which a removed row still stands. Applying it would bring the row back.
   it('lists anew when the history is gone, and passes over a list that lags', async (t) => {
-    const { told } = await runWatcher([
+    const { events } = await runWatcher([
       buildRows(5),
       buildRows(9),
       { kind: 'compacted' },
       buildRows(7),
       buildRows(11),
     ]);
-    t.deepEqual(told, ['listed 5', 'changed 9', 'listed 11']);
+    t.deepEqual(events, ['listed 5', 'changed 9', 'listed 11']);
   });
 
   // The source goes away: the connection is doubted, and the first call after it does not wait, so
   // that its return is known at once.
   it('asks without waiting after a failure, on a new connection', async (t) => {
-    const { calls, told, resets } = await runWatcher([
+    const { calls, events, resets } = await runWatcher([
       buildRows(5),
       { kind: 'unavailable', reason: 'silent' },
       buildRows(5),
     ]);
-    t.deepEqual(told, ['listed 5', 'lost silent', 'changed 5']);
+    t.deepEqual(events, ['listed 5', 'lost silent', 'changed 5']);
     t.is(resets, 1);
     t.like(calls[2], { kind: 'watch', waitMs: 0 });
     t.like(calls[3], { kind: 'watch', waitMs: 1500 });
@@ -139,18 +139,18 @@
         onLost: () => undefined,
       },
     });
-    const waitTurns = (): Promise<void> =>
+    const waitForCalls = (): Promise<void> =>
       new Promise((resolve) => {
         setTimeout(resolve, 50);
       });
-    await waitTurns();
+    await waitForCalls();
     t.deepEqual(calls, [5, 6]);
     watcher.pause();
     watcher.restart();
-    await waitTurns();
+    await waitForCalls();
     t.deepEqual(calls, [5, 6]);
     watcher.resume(9);
-    await waitTurns();
+    await waitForCalls();
     t.deepEqual(calls, [5, 6, 9]);
     watcher.stop();
     timers.stop();
--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -65,36 +65,36 @@
   const { reader, listener, timers, random } = options;
   let revision: number | undefined;
   /** The highest revision ever seen: an answer below it is a read that lags behind. */
-  let highest = 0;
+  let highestRevision = 0;
   let failures = 0;
   /** Watches in a row whose history was gone. */
-  let refusals = 0;
+  let compactions = 0;
   let isStopped = false;
   let isPaused = options.isPaused ?? false;
   /** Whether a watch was answered since the last list or doubt. */
   let isConfirmed = false;
-  let round = 0;
+  let generation = 0;
 
   /** After so many calls in a row that brought nothing. */
-  function computePauseMs(fruitless: number): number {
-    const pauseMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** Math.max(0, fruitless - 1));
+  function computePauseMs(attempts: number): number {
+    const pauseMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** Math.max(0, attempts - 1));
     return pauseMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
   }
 
   function handleRows(answer: Extract<FeedAnswer, { kind: 'rows' }>): void {
     failures = 0;
     // Guards against lists that are seconds behind: it shows as a row that comes back after removal.
-    if (answer.revision < highest) return;
-    highest = answer.revision;
+    if (answer.revision < highestRevision) return;
+    highestRevision = answer.revision;
     const isList = revision === undefined;
     isConfirmed = !isList;
-    if (isConfirmed) refusals = 0;
+    if (isConfirmed) compactions = 0;
     revision = answer.revision;
     if (isList) listener.onListed(answer.rows, answer);
     else listener.onChanged(answer.rows, answer);
   }
 
-  function handleAnswer(answer: FeedAnswer): number {
+  function handleResponse(answer: FeedAnswer): number {
     switch (answer.kind) {
       case 'rows':
         handleRows(answer);
@@ -102,11 +102,11 @@
       case 'compacted':
         revision = undefined;
         isConfirmed = false;
-        refusals += 1;
+        compactions += 1;
         // Guards against a list that lags behind the forgotten history: list and refused watch would
         // follow each other without a pause, up to 250 calls a second at 4 ms an answer (computed), until
         // the list has caught up, which takes seconds.
-        return refusals === 1 ? 0 : computePauseMs(refusals - 1);
+        return compactions === 1 ? 0 : computePauseMs(compactions - 1);
       default:
         failures += 1;
         isConfirmed = false;
@@ -122,47 +122,47 @@
     return reader.watch(revision, isConfirmed ? options.getWaitMs() : 0);
   }
 
-  async function runRound(current: number): Promise<void> {
+  async function runCall(current: number): Promise<void> {
     const answer = await fetchNext();
-    if (isStopped || current !== round) return;
-    const pauseMs = handleAnswer(answer);
-    if (pauseMs > 0) timers.subscribeOnce(pauseMs, () => startRound(current));
-    else setImmediate(() => startRound(current));
+    if (isStopped || current !== generation) return;
+    const pauseMs = handleResponse(answer);
+    if (pauseMs > 0) timers.subscribeOnce(pauseMs, () => startCall(current));
+    else setImmediate(() => startCall(current));
   }
 
-  function startRound(current: number): void {
-    if (isStopped || isPaused || current !== round) return;
-    runRound(current).catch((error: unknown) => {
+  function startCall(current: number): void {
+    if (isStopped || isPaused || current !== generation) return;
+    runCall(current).catch((error: unknown) => {
       listener.onLost(`the feed could not be read: ${String(error)}`);
-      timers.subscribeOnce(RETRY_MAX_MS, () => startRound(current));
+      timers.subscribeOnce(RETRY_MAX_MS, () => startCall(current));
     });
   }
 
-  function startAnew(): void {
-    round += 1;
+  function startNewGeneration(): void {
+    generation += 1;
     isConfirmed = false;
     reader.reset();
-    startRound(round);
+    startCall(generation);
   }
 
-  startRound(round);
+  startCall(generation);
   return {
     restart() {
       failures = Math.max(1, failures);
-      startAnew();
+      startNewGeneration();
     },
     pause() {
       isPaused = true;
-      round += 1;
+      generation += 1;
       reader.reset();
     },
-    resume(known) {
+    resume(knownRevision) {
       if (!isPaused) return;
       isPaused = false;
-      highest = Math.max(highest, known);
+      highestRevision = Math.max(highestRevision, knownRevision);
       // Whoever knows everything up to a revision need not list.
-      if (known > 0) revision = Math.max(revision ?? 0, known);
-      startAnew();
+      if (knownRevision > 0) revision = Math.max(revision ?? 0, knownRevision);
+      startNewGeneration();
     },
     stop() {
       isStopped = true;
--- a/src/knowledge/source-clock.ts
+++ b/src/knowledge/source-clock.ts
@@ -6,7 +6,7 @@
  */
 
 /** An answer that says what the source's clock shows. */
-export interface SourceAnswer {
+export interface ClockSample {
   /** The source's clock when it answered, or the latest that it can have shown when a peer did. */
   readonly sourceNowMs: number;
   /** When the call was sent, on this process's clock. */
@@ -16,7 +16,7 @@
 /** The relation between the two clocks. */
 export interface SourceClock {
   /** Takes an answer into account. */
-  record(answer: SourceAnswer): void;
+  record(sample: ClockSample): void;
   /** How long ago a moment on the source's clock was at most, in milliseconds; infinite while the relation is unknown. */
   computeAge(sourceMs: number, nowMs: number): number;
   /** The latest that the source's clock can show; undefined while the relation is unknown. */
--- a/src/knowledge/suspension-detector.ts
+++ b/src/knowledge/suspension-detector.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../runtime/clock.js';
 
 /** The clocks may drift apart by this much, in milliseconds, before it counts as a suspension. */
-const DRIFT_TOLERATED_MS = 200;
+const DRIFT_TOLERANCE_MS = 200;
 
 /** Watches the two clocks. */
 export interface SuspensionDetector {
@@ -16,13 +16,13 @@
 
 /** Builds a detector that starts from the clocks' present difference. */
 export function createSuspensionDetector(clock: Clock): SuspensionDetector {
-  let differenceMs = clock.wallMs() - clock.monotonicMs();
+  let offsetMs = clock.wallMs() - clock.monotonicMs();
   return {
     checkSuspended() {
-      const nextMs = clock.wallMs() - clock.monotonicMs();
-      const driftMs = Math.abs(nextMs - differenceMs);
-      differenceMs = nextMs;
-      return driftMs > DRIFT_TOLERATED_MS;
+      const nextOffsetMs = clock.wallMs() - clock.monotonicMs();
+      const driftMs = Math.abs(nextOffsetMs - offsetMs);
+      offsetMs = nextOffsetMs;
+      return driftMs > DRIFT_TOLERANCE_MS;
     },
   };
 }
--- a/src/knowledge/table-mirror.test.ts
+++ b/src/knowledge/table-mirror.test.ts
@@ -98,9 +98,9 @@
       key: fc.constantFrom('a', 'b', 'c', 'd'),
       isRemoved: fc.boolean(),
       /** Which watchers hear of everything so far, and whether from a list. */
-      hears: fc.tuple(fc.boolean(), fc.boolean()),
-      lists: fc.boolean(),
-      asks: fc.nat(1),
+      isUpdated: fc.tuple(fc.boolean(), fc.boolean()),
+      isList: fc.boolean(),
+      askedWatcher: fc.nat(1),
     });
     fc.assert(
       fc.property(fc.array(change, { maxLength: 40 }), fc.boolean(), (changes, hasRevisions) => {
@@ -120,7 +120,7 @@
               revision,
             );
         };
-        for (const { key, isRemoved, hears, lists, asks } of changes) {
+        for (const { key, isRemoved, isUpdated, isList, askedWatcher } of changes) {
           const value = isRemoved ? undefined : `${log.length}`;
           const revision = log.length + 2;
           const row: FeedRow = { key, value, ...(hasRevisions ? { revision } : {}) };
@@ -128,9 +128,9 @@
           else source.set(key, row);
           log.push({ row, revision });
           watchers.forEach((watcher, index) => {
-            if (hears[index] === true) updateWatcher(watcher, lists);
+            if (isUpdated[index] === true) updateWatcher(watcher, isList);
           });
-          applyChanges(follower, watchers[asks] as TableMirror);
+          applyChanges(follower, watchers[askedWatcher] as TableMirror);
         }
         updateWatcher(watchers[0] as TableMirror, false);
         applyChanges(follower, watchers[0] as TableMirror);
--- a/src/knowledge/table-mirror.ts
+++ b/src/knowledge/table-mirror.ts
@@ -5,7 +5,7 @@
 import type { FeedRow } from './feed.js';
 
 /** Removed rows that are remembered: a follower that lacks an older removal gets every row. */
-const REMOVED_MAX = 512;
+const TOMBSTONES_MAX = 512;
 
 /** A row as it is held and passed on. */
 export interface MirroredRow extends FeedRow {
@@ -39,58 +39,58 @@
 export function createTableMirror(): TableMirror {
   const rows = new Map<string, MirroredRow>();
   /** Removed rows, the one removed last at the end. */
-  const removed = new Map<string, MirroredRow>();
+  const tombstones = new Map<string, MirroredRow>();
   /** Removals up to this revision are forgotten. */
-  let forgottenRevision = 0;
-  let revisionInHand = 0;
+  let compactedRevision = 0;
+  let currentRevision = 0;
   let contentRevision = 0;
 
   function removeRow(key: string, revision: number): void {
     rows.delete(key);
-    removed.delete(key);
-    removed.set(key, { key, value: undefined, revision });
-    if (removed.size <= REMOVED_MAX) return;
-    const [oldest] = removed.values();
+    tombstones.delete(key);
+    tombstones.set(key, { key, value: undefined, revision });
+    if (tombstones.size <= TOMBSTONES_MAX) return;
+    const [oldest] = tombstones.values();
     if (oldest === undefined) return;
-    removed.delete(oldest.key);
-    forgottenRevision = oldest.revision;
+    tombstones.delete(oldest.key);
+    compactedRevision = oldest.revision;
   }
 
   /** The row's own revision is the same at every instance; that of an answer is where the answer ends. */
-  function applyRow(row: FeedRow, answerRevision: number): void {
-    const { key, revision = answerRevision } = row;
+  function applyRow(row: FeedRow, responseRevision: number): void {
+    const { key, revision = responseRevision } = row;
     contentRevision = Math.max(contentRevision, revision);
     if (row.value === undefined) {
       removeRow(key, revision);
       return;
     }
-    removed.delete(key);
+    tombstones.delete(key);
     rows.set(key, { ...row, revision });
   }
 
-  function isKnown(row: FeedRow): boolean {
+  function isUnchanged(row: FeedRow): boolean {
     const known = rows.get(row.key);
     if (known === undefined) return false;
     return row.revision === undefined ? known.value === row.value : known.revision === row.revision;
   }
 
   function setAll(listed: readonly FeedRow[], revision: number): void {
-    revisionInHand = Math.max(revisionInHand, revision);
+    currentRevision = Math.max(currentRevision, revision);
     // What came and went since the list before is not known: whoever has less gets every row.
-    forgottenRevision = revisionInHand;
+    compactedRevision = currentRevision;
     // Guards against a row that came and went between two lists of this instance, while another heard of
     // its coming and has since died: it shows as an endpoint that is gone and still gets calls of those
     // whom that one told. A list is news to all, so that they ask once more.
     contentRevision = Math.max(contentRevision, revision);
     const keys = new Set(listed.map(({ key }) => key));
-    const vanished = [...rows.keys()].filter((key) => !keys.has(key));
-    for (const key of vanished) applyRow({ key, value: undefined }, revision);
-    for (const row of listed) if (!isKnown(row)) applyRow(row, revision);
+    const missingKeys = [...rows.keys()].filter((key) => !keys.has(key));
+    for (const key of missingKeys) applyRow({ key, value: undefined }, revision);
+    for (const row of listed) if (!isUnchanged(row)) applyRow(row, revision);
   }
 
   function apply(changed: readonly FeedRow[], revision: number): void {
     for (const row of changed) applyRow(row, revision);
-    revisionInHand = Math.max(revisionInHand, revision);
+    currentRevision = Math.max(currentRevision, revision);
   }
 
   return {
@@ -101,12 +101,12 @@
       else apply(changes.rows, revision);
       contentRevision = Math.max(contentRevision, revision);
     },
-    getRevision: () => revisionInHand,
+    getRevision: () => currentRevision,
     getContentRevision: () => contentRevision,
     list: () => [...rows.values()],
     listSince(revision) {
-      if (revision < forgottenRevision) return { kind: 'all', rows: [...rows.values()] };
-      const known = [...rows.values(), ...removed.values()];
+      if (revision < compactedRevision) return { kind: 'all', rows: [...rows.values()] };
+      const known = [...rows.values(), ...tombstones.values()];
       return { kind: 'changed', rows: known.filter((row) => row.revision > revision) };
     },
   };
--- a/src/knowledge/watch-duty.test.ts
+++ b/src/knowledge/watch-duty.test.ts
@@ -11,22 +11,22 @@
 }
 
 const FLEET = buildFleet(195, 5);
-const UP_MS = 10_000;
+const UPTIME_MS = 10_000;
 
 /** The duty of an instance that has been alive for ten seconds, by the age of its knowledge. */
-function computeDuty(
+function computeRole(
   self: string,
   alive: readonly WatchCandidate[],
   knowledgeAgeMs = 500,
 ): WatchDuty {
   const input = { self, alive, knowledgeAgeMs, hasContacts: true };
-  return createWatchDuty(0).advance(input, UP_MS);
+  return createWatchDuty(0).advance(input, UPTIME_MS);
 }
 
 function listWatching(alive: readonly WatchCandidate[], knowledgeAgeMs?: number): string[] {
   return alive
     .map(({ name }) => name)
-    .filter((name) => computeDuty(name, alive, knowledgeAgeMs).kind === 'watch');
+    .filter((name) => computeRole(name, alive, knowledgeAgeMs).kind === 'watch');
 }
 
 describe('watch duty', ({ it }) => {
@@ -37,8 +37,8 @@
     );
     t.deepEqual(dataCentres.sort(), ['dc-0', 'dc-1', 'dc-2', 'dc-3', 'dc-4']);
     const leading = watching.filter((name) => {
-      const duty = computeDuty(name, FLEET);
-      return duty.kind === 'watch' && duty.isLeading;
+      const role = computeRole(name, FLEET);
+      return role.kind === 'watch' && role.isLeading;
     });
     t.is(leading.length, LEADING_WATCHERS);
   });
@@ -46,7 +46,7 @@
   it('falls to three at least, and to whoever is alone', (t) => {
     t.is(listWatching(buildFleet(9, 1)).length, WATCHERS_MIN);
     t.is(listWatching(buildFleet(2, 1)).length, 2);
-    t.is(computeDuty('a', []).kind, 'watch');
+    t.is(computeRole('a', []).kind, 'watch');
   });
 
   // The store turns away exactly the machines that watch. The others hear nothing recent any more
@@ -60,8 +60,8 @@
   // The store is down for everybody, and all of a fleet watch. Each call is turned away and paid for.
   it('pauses longer between calls that fail the more instances come before', (t) => {
     const perSecond = FLEET.reduce((sum, { name }) => {
-      const duty = computeDuty(name, FLEET, 60_000);
-      return sum + (duty.kind === 'watch' ? 1 / duty.pauseFactor : 0);
+      const role = computeRole(name, FLEET, 60_000);
+      return sum + (role.kind === 'watch' ? 1 / role.pauseFactor : 0);
     }, 0);
     t.true(perSecond < 30, `${perSecond} times the rate of one watcher`);
   });
@@ -69,10 +69,10 @@
   // The time of day jumps on a third of the machines. None of them knows how old its knowledge is until
   // somebody has told it the time, which others can: sixty that call the store instead cost it hundreds of calls.
   it('is not taken up by those whose clocks jump, while others can tell them', (t) => {
-    const self = FLEET.find(({ name }) => computeDuty(name, FLEET).kind === 'follow')?.name ?? '';
-    const duty = createWatchDuty(0);
+    const self = FLEET.find(({ name }) => computeRole(name, FLEET).kind === 'follow')?.name ?? '';
+    const selector = createWatchDuty(0);
     const advance = (knowledgeAgeMs: number, nowMs: number): string =>
-      duty.advance({ self, alive: FLEET, knowledgeAgeMs, hasContacts: true }, nowMs).kind;
+      selector.advance({ self, alive: FLEET, knowledgeAgeMs, hasContacts: true }, nowMs).kind;
     t.is(advance(500, 20_000), 'follow');
     t.is(advance(Infinity, 20_300), 'follow');
     t.is(advance(Infinity, 21_400), 'follow');
@@ -80,10 +80,10 @@
   });
 
   it('is kept for a while when it is no longer needed', (t) => {
-    const self = FLEET.find(({ name }) => computeDuty(name, FLEET).kind === 'follow')?.name ?? '';
-    const duty = createWatchDuty(0);
+    const self = FLEET.find(({ name }) => computeRole(name, FLEET).kind === 'follow')?.name ?? '';
+    const selector = createWatchDuty(0);
     const advance = (knowledgeAgeMs: number, nowMs: number): string =>
-      duty.advance({ self, alive: FLEET, knowledgeAgeMs, hasContacts: true }, nowMs).kind;
+      selector.advance({ self, alive: FLEET, knowledgeAgeMs, hasContacts: true }, nowMs).kind;
     t.is(advance(500, 6000), 'follow');
     t.is(advance(4000, 7000), 'watch');
     t.is(advance(500, 11_000), 'watch');
@@ -93,10 +93,10 @@
   // Two hundred instances start in one moment. Each knows nobody at first and would be the first of
   // the fleet in its own eyes: all would list and watch, and be billed for it.
   it('is not taken up by an instance that starts and can ask others', (t) => {
-    const duty = createWatchDuty(0);
+    const selector = createWatchDuty(0);
     const alone = buildFleet(1, 1);
     const advance = (knowledgeAgeMs: number, hasContacts: boolean, nowMs: number): string =>
-      duty.advance({ self: 'front-0', alive: alone, knowledgeAgeMs, hasContacts }, nowMs).kind;
+      selector.advance({ self: 'front-0', alive: alone, knowledgeAgeMs, hasContacts }, nowMs).kind;
     t.is(advance(Infinity, true, 0), 'follow');
     t.is(advance(Infinity, true, 1400), 'follow');
     t.is(advance(300, true, 3000), 'follow');
--- a/src/knowledge/watch-duty.ts
+++ b/src/knowledge/watch-duty.ts
@@ -14,19 +14,19 @@
 /** Watchers that keep everybody's knowledge confirmed; the others only wait for changes. */
 export const LEADING_WATCHERS = 2;
 /** Knowledge older than this, in milliseconds, is overdue: a leading watcher confirms it every 1.5 s, tellings take 0.3 s, and a call of the source may take 0.4 s. */
-const OVERDUE_MS = 2400;
+const STALE_AFTER_MS = 2400;
 /** The number of watchers doubles each time so much more has passed, in milliseconds: where the first of those that join succeed, everybody knows before the next do, and all of 195 watch 2 s later. */
-const JOIN_PERIOD_MS = 400;
+const ESCALATION_PERIOD_MS = 400;
 /** The same before the first knowledge: a whole fleet that starts is busy with starting. */
-const FIRST_JOIN_PERIOD_MS = 1000;
+const INITIAL_ESCALATION_PERIOD_MS = 1000;
 /** An instance that starts asks others for this long, in milliseconds, before it asks the source: those that run answer in a tenth of that, those that start at the same moment need a second to be there. */
-const START_MS = 1500;
+const STARTUP_GRACE_MS = 1500;
 /**
  * An instance that need not watch goes on for this long, in milliseconds, counted from when it last had
  * to: a source that comes back takes a few seconds to settle. One that starts does not take up watching
  * for as long while others tell it enough: it does not know the fleet yet, and would be first of few.
  */
-const SETTLING_MS = 5000;
+const ROLE_HOLD_MS = 5000;
 
 /** An instance that may watch. */
 export interface WatchCandidate {
@@ -64,7 +64,7 @@
 }
 
 /** Everybody in the order in which they are to watch: the first of each data centre, then the rest. */
-function listByDuty(alive: readonly WatchCandidate[]): string[] {
+function listByRank(alive: readonly WatchCandidate[]): string[] {
   const ranked = chooseRendezvous(
     'watch',
     alive.map(({ name }) => name),
@@ -84,34 +84,38 @@
 /** The instances that watch where nothing is wrong. */
 export function listWatchers(alive: readonly WatchCandidate[]): string[] {
   const dataCentres = new Set(alive.map(({ dataCentre }) => dataCentre));
-  return listByDuty(alive).slice(0, Math.max(WATCHERS_MIN, dataCentres.size));
+  return listByRank(alive).slice(0, Math.max(WATCHERS_MIN, dataCentres.size));
 }
 
 /** How many times the usual number of instances watch, by the age of knowledge, or by how long an instance has been without any. */
-function computeJoinFactor(knowledgeAgeMs: number, unknownMs: number): number {
+function computeEscalationFactor(knowledgeAgeMs: number, unknownMs: number): number {
   const periods = Number.isFinite(knowledgeAgeMs)
-    ? (knowledgeAgeMs - OVERDUE_MS) / JOIN_PERIOD_MS
-    : (unknownMs - START_MS) / FIRST_JOIN_PERIOD_MS;
+    ? (knowledgeAgeMs - STALE_AFTER_MS) / ESCALATION_PERIOD_MS
+    : (unknownMs - STARTUP_GRACE_MS) / INITIAL_ESCALATION_PERIOD_MS;
   return periods < 0 ? 1 : 2 ** (1 + Math.floor(periods));
 }
 
 /** Builds the duty of an instance that starts. */
 export function createWatchDuty(startedMs: number): WatchDutyKeeper {
-  let neededMs = -Infinity;
+  let lastNeededMs = -Infinity;
   /** Since when no age of the knowledge is known: since the start, or since the clocks parted. */
   let unknownSinceMs = startedMs;
 
   return {
     advance({ self, alive, knowledgeAgeMs, hasContacts }, nowMs) {
       if (Number.isFinite(knowledgeAgeMs)) unknownSinceMs = nowMs;
-      const upMs = nowMs - startedMs;
-      const hasKnowledge = knowledgeAgeMs <= OVERDUE_MS;
-      if (hasContacts && upMs < (hasKnowledge ? SETTLING_MS : START_MS)) return { kind: 'follow' };
-      const watchers = Math.max(WATCHERS_MIN, new Set(alive.map((one) => one.dataCentre)).size);
-      const rank = Math.max(0, listByDuty(alive).indexOf(self));
-      const factor = computeJoinFactor(knowledgeAgeMs, nowMs - unknownSinceMs);
-      if (rank < watchers * factor) neededMs = nowMs;
-      if (nowMs - neededMs >= SETTLING_MS) return { kind: 'follow' };
+      const uptimeMs = nowMs - startedMs;
+      const isFresh = knowledgeAgeMs <= STALE_AFTER_MS;
+      if (hasContacts && uptimeMs < (isFresh ? ROLE_HOLD_MS : STARTUP_GRACE_MS))
+        return { kind: 'follow' };
+      const watchers = Math.max(
+        WATCHERS_MIN,
+        new Set(alive.map((candidate) => candidate.dataCentre)).size,
+      );
+      const rank = Math.max(0, listByRank(alive).indexOf(self));
+      const factor = computeEscalationFactor(knowledgeAgeMs, nowMs - unknownSinceMs);
+      if (rank < watchers * factor) lastNeededMs = nowMs;
+      if (nowMs - lastNeededMs >= ROLE_HOLD_MS) return { kind: 'follow' };
       return {
         kind: 'watch',
         isListed: rank < watchers,
--- a/src/membership/facts.ts
+++ b/src/membership/facts.ts
@@ -4,7 +4,7 @@
 import { hashName } from '../utils/hash.js';
 
 /** Of two facts of the same incarnation the one with the higher rank holds. */
-const RANK: Readonly<Record<FactState, number>> = {
+const STATE_PRECEDENCE: Readonly<Record<FactState, number>> = {
   [FactState.UNSPECIFIED]: -1,
   [FactState.ALIVE]: 0,
   [FactState.SUSPECT]: 1,
@@ -22,9 +22,10 @@
 }
 
 /** Whether `next` replaces `known`. */
-export function isLater(next: Fact, known: Fact): boolean {
+export function isNewer(next: Fact, known: Fact): boolean {
   if (next.incarnation !== known.incarnation) return next.incarnation > known.incarnation;
-  if (RANK[next.state] !== RANK[known.state]) return RANK[next.state] > RANK[known.state];
+  if (STATE_PRECEDENCE[next.state] !== STATE_PRECEDENCE[known.state])
+    return STATE_PRECEDENCE[next.state] > STATE_PRECEDENCE[known.state];
   return next.revision > known.revision;
 }
 
--- a/src/membership/membership.test.ts
+++ b/src/membership/membership.test.ts
@@ -3,14 +3,19 @@
 import { describe } from '../test/describe.js';
 import { createRandom } from '../utils/random.js';
 import { FactState } from './facts.js';
-import { PROBE_FANOUT, PROBE_PERIOD_MS, SUSPECT_MS, createMembership } from './membership.js';
+import {
+  PROBE_FANOUT,
+  PROBE_PERIOD_MS,
+  SUSPICION_TIMEOUT_MS,
+  createMembership,
+} from './membership.js';
 import type { Membership } from './membership.js';
 import type { GossipBody, MembershipCommand } from './membership-messages.js';
 
 const TICK_MS = 50;
 const DELAY_MS = 5;
 
-interface Flight {
+interface InFlightMessage {
   readonly atMs: number;
   readonly from: string;
   readonly to: string;
@@ -20,10 +25,10 @@
 /** Members that exchange messages over links which a test may close. */
 function createFleet(names: readonly string[]) {
   const members = new Map<string, Membership>();
-  const closed = new Set<string>();
+  const closedLinks = new Set<string>();
   const dead = new Set<string>();
   const sentBytes = new Map<string, number>();
-  let flights: Flight[] = [];
+  let inFlight: InFlightMessage[] = [];
   let nowMs = 0;
   const contacts = names.map((name) => ({ name, address: name, dataCentre: 'one' }));
 
@@ -44,14 +49,14 @@
     for (const command of commands) {
       if (command.kind === 'send') {
         sentBytes.set(from, (sentBytes.get(from) ?? 0) + JSON.stringify(command.body).length);
-        flights.push({ atMs: nowMs + DELAY_MS, from, to: command.address, body: command.body });
+        inFlight.push({ atMs: nowMs + DELAY_MS, from, to: command.address, body: command.body });
       }
     }
   }
 
-  function takeDue(): Flight[] {
-    const due = flights.filter((flight) => flight.atMs <= nowMs);
-    flights = flights.filter((flight) => flight.atMs > nowMs);
+  function takeDue(): InFlightMessage[] {
+    const due = inFlight.filter((flight) => flight.atMs <= nowMs);
+    inFlight = inFlight.filter((flight) => flight.atMs > nowMs);
     return due;
   }
 
@@ -59,7 +64,7 @@
     while (nowMs < untilMs) {
       nowMs += TICK_MS;
       for (const flight of takeDue()) {
-        const isLost = closed.has(`${flight.from}>${flight.to}`) || dead.has(flight.to);
+        const isLost = closedLinks.has(`${flight.from}>${flight.to}`) || dead.has(flight.to);
         const target = members.get(flight.to);
         if (!isLost && target !== undefined) {
           const body = flight.body as GossipBody;
@@ -75,7 +80,7 @@
   for (const name of names) startMember(name, 1000);
   return {
     members,
-    closed,
+    closedLinks,
     dead,
     startMember,
     getNow: () => nowMs,
@@ -84,7 +89,8 @@
       const member = members.get(name);
       if (member !== undefined) sendAll(name, member.handle(message, nowMs));
     },
-    getState: (seer: string, seen: string) => members.get(seer)?.findMember(seen)?.state,
+    getState: (observer: string, subject: string) =>
+      members.get(observer)?.findMember(subject)?.state,
     countBytes: (name: string) => sentBytes.get(name) ?? 0,
     clearBytes: () => sentBytes.clear(),
   };
@@ -117,7 +123,7 @@
     // cannot reach another, says so, and everybody drops a member that works.
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
-    fleet.closed.add('entry-1>entry-2').add('entry-2>entry-1');
+    fleet.closedLinks.add('entry-1>entry-2').add('entry-2>entry-1');
     for (let look = 0; look < 120; look += 1) {
       fleet.runFor(250);
       // Not even suspect: a suspect loses its shards.
@@ -129,7 +135,7 @@
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     fleet.dead.add('entry-4');
-    fleet.runFor(PROBE_PERIOD_MS * NAMES.length + SUSPECT_MS + 3000);
+    fleet.runFor(PROBE_PERIOD_MS * NAMES.length + SUSPICION_TIMEOUT_MS + 3000);
     for (const name of NAMES.filter((other) => other !== 'entry-4')) {
       t.is(fleet.getState(name, 'entry-4'), FactState.DEAD);
     }
@@ -146,7 +152,7 @@
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     fleet.dead.add('entry-4');
-    fleet.runFor(PROBE_PERIOD_MS * NAMES.length + SUSPECT_MS + 3000);
+    fleet.runFor(PROBE_PERIOD_MS * NAMES.length + SUSPICION_TIMEOUT_MS + 3000);
     fleet.dead.delete('entry-4');
     fleet.startMember('entry-4', 500);
     fleet.runFor(8000);
@@ -160,12 +166,12 @@
     fleet.runFor(5000);
     for (const [index, a] of NAMES.entries()) {
       for (const [other, b] of NAMES.entries()) {
-        if (index % 2 !== other % 2) fleet.closed.add(`${a}>${b}`);
+        if (index % 2 !== other % 2) fleet.closedLinks.add(`${a}>${b}`);
       }
     }
     fleet.runFor(15_000);
     t.is(fleet.getState('entry-1', 'entry-2'), FactState.DEAD);
-    fleet.closed.clear();
+    fleet.closedLinks.clear();
     fleet.runFor(20_000);
     for (const seer of NAMES) {
       for (const seen of NAMES) t.is(fleet.getState(seer, seen), FactState.ALIVE);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -14,7 +14,7 @@
   MembershipCommand,
   MembershipMessage,
 } from './membership-messages.js';
-import { FactKind, FactState, createFact, hashFacts, isLater, isPresent } from './facts.js';
+import { FactKind, FactState, createFact, hashFacts, isNewer, isPresent } from './facts.js';
 
 /** A round of probes, in milliseconds. */
 export const PROBE_PERIOD_MS = 400;
@@ -23,15 +23,15 @@
 /** Members asked to probe for us. */
 const INDIRECT_FANOUT = 2;
 /** A probe without an answer after this long is tried through others, in milliseconds. */
-const DIRECT_TIMEOUT_MS = 200;
+const DIRECT_PROBE_TIMEOUT_MS = 200;
 /** A probe without any answer after this long raises suspicion. */
 const PROBE_TIMEOUT_MS = 700;
 /** A suspect has this long to refute, in milliseconds. */
-export const SUSPECT_MS = 2000;
+export const SUSPICION_TIMEOUT_MS = 2000;
 /** Dead members are remembered, and now and then probed, this long: the way back after a cut. */
-const TOMBSTONE_MS = 600_000;
+const TOMBSTONE_RETENTION_MS = 600_000;
 /** Facts on one message. */
-const FACTS_PER_MESSAGE = 12;
+const FACTS_PER_MESSAGE_MAX = 12;
 /** Each fact rides on this many times log2 of the fleet's size messages. */
 const RETRANSMIT_FACTOR = 4;
 /** Least time between two full exchanges started here, in milliseconds. */
@@ -39,9 +39,9 @@
 /** Members told at once of this member's leaving. */
 const LEAVE_FANOUT = 12;
 /** A round of probes while nobody else is known, in milliseconds: of instances that start together the seeds may be the last. */
-const ALONE_PERIOD_MS = 300;
+const BOOTSTRAP_PERIOD_MS = 300;
 /** Rounds between two probes of a member held for dead. */
-const DEAD_PROBE_ROUNDS = 5;
+const DEAD_PROBE_INTERVAL_ROUNDS = 5;
 
 /** Settings of a member. */
 export interface MembershipOptions {
@@ -62,7 +62,7 @@
   readonly target: string;
   readonly sentMs: number;
   /** Who asked for this probe, and under which sequence; undefined for our own. */
-  readonly asker: { readonly name: string; readonly sequence: number } | undefined;
+  readonly requester: { readonly name: string; readonly sequence: number } | undefined;
   isIndirect: boolean;
 }
 
@@ -89,18 +89,18 @@
   const suspectSinceMs = new Map<string, number>();
   const deadSinceMs = new Map<string, number>();
   const contacts = new Map<string, Contact>();
-  let order: string[] = [];
+  let probeOrder: string[] = [];
   let sequence = 0;
-  let round = 0;
-  let roundMs = -Infinity;
-  let syncMs = -Infinity;
+  let roundNumber = 0;
+  let lastRoundMs = -Infinity;
+  let lastSyncMs = -Infinity;
   let commands: MembershipCommand[] = [];
 
-  function buildKey(fact: Pick<Fact, 'kind' | 'subject'>): string {
+  function buildFactKey(fact: Pick<Fact, 'kind' | 'subject'>): string {
     return `${fact.kind}|${fact.subject}`;
   }
 
-  const selfKey = buildKey({ kind: FactKind.MEMBER, subject: self.name });
+  const selfKey = buildFactKey({ kind: FactKind.MEMBER, subject: self.name });
   facts.set(
     selfKey,
     createFact({
@@ -121,7 +121,7 @@
   }
 
   function findMember(name: string): Fact | undefined {
-    return facts.get(buildKey({ kind: FactKind.MEMBER, subject: name }));
+    return facts.get(buildFactKey({ kind: FactKind.MEMBER, subject: name }));
   }
 
   function listMembers(): Fact[] {
@@ -133,11 +133,11 @@
   }
 
   function recordRumour(fact: Fact): void {
-    rumours.set(buildKey(fact), { fact, sent: 0 });
+    rumours.set(buildFactKey(fact), { fact, sent: 0 });
   }
 
   function storeFact(fact: Fact, nowMs: number): void {
-    const key = buildKey(fact);
+    const key = buildFactKey(fact);
     const before = facts.get(key);
     facts.set(key, fact);
     recordRumour(fact);
@@ -165,8 +165,8 @@
   /** Others hold this member for suspect or dead: it says, with a higher incarnation, that it lives. */
   function applyRefutation(fact: Fact, nowMs: number): void {
     const known = getSelf();
-    const isWrong = fact.incarnation > known.incarnation || isLater(fact, known);
-    if (!isWrong) return;
+    const isRefutationNeeded = fact.incarnation > known.incarnation || isNewer(fact, known);
+    if (!isRefutationNeeded) return;
     storeFact(
       createFact({
         ...known,
@@ -177,13 +177,13 @@
     );
   }
 
-  function takeFact(fact: Fact, nowMs: number): void {
+  function applyFact(fact: Fact, nowMs: number): void {
     if (fact.kind === FactKind.MEMBER && fact.subject === self.name) {
       applyRefutation(fact, nowMs);
       return;
     }
-    const known = facts.get(buildKey(fact));
-    if (known !== undefined && !isLater(fact, known)) return;
+    const known = facts.get(buildFactKey(fact));
+    if (known !== undefined && !isNewer(fact, known)) return;
     invariants.check(
       'membership_incarnation_grows',
       known === undefined || fact.incarnation >= known.incarnation,
@@ -199,15 +199,15 @@
   /** The least-told rumours, and always this member's own fact: a probe must identify its sender. */
   function takeRumours(): Fact[] {
     const limit = computeRetransmits();
-    const told = [...rumours.values()]
+    const selected = [...rumours.values()]
       .filter((rumour) => rumour.fact.subject !== self.name)
       .sort((a, b) => a.sent - b.sent)
-      .slice(0, FACTS_PER_MESSAGE - 1);
-    for (const rumour of told) {
+      .slice(0, FACTS_PER_MESSAGE_MAX - 1);
+    for (const rumour of selected) {
       rumour.sent += 1;
-      if (rumour.sent >= limit) rumours.delete(buildKey(rumour.fact));
+      if (rumour.sent >= limit) rumours.delete(buildFactKey(rumour.fact));
     }
-    return [getSelf(), ...told.map((rumour) => rumour.fact)];
+    return [getSelf(), ...selected.map((rumour) => rumour.fact)];
   }
 
   function findAddress(name: string): string {
@@ -219,18 +219,18 @@
     if (address !== '') commands.push({ kind: 'send', to, address, body });
   }
 
-  function postPing(target: string, asker: Probe['asker'], nowMs: number): void {
+  function postPing(target: string, asker: Probe['requester'], nowMs: number): void {
     sequence += 1;
-    probes.set(sequence, { sequence, target, sentMs: nowMs, asker, isIndirect: false });
+    probes.set(sequence, { sequence, target, sentMs: nowMs, requester: asker, isIndirect: false });
     // What is said of the target goes to the target itself, or it could never refute it.
-    const said = findMember(target);
-    const isRefutable = said !== undefined && said.state !== FactState.ALIVE;
+    const targetFact = findMember(target);
+    const isRefutable = targetFact !== undefined && targetFact.state !== FactState.ALIVE;
     postBody(target, {
       case: 'ping',
       value: {
         $typeName: 'hyssoptally.peer.v1.Ping',
         sequence,
-        facts: isRefutable ? [...takeRumours(), said] : takeRumours(),
+        facts: isRefutable ? [...takeRumours(), targetFact] : takeRumours(),
         factsHash: hashFacts(facts.values()),
       },
     });
@@ -260,49 +260,49 @@
   /** Next members in a shuffled order, so that every one is probed within a bounded time. */
   function takeProbeTargets(): string[] {
     const present = new Set(listOthers().map((fact) => fact.subject));
-    order = order.filter((name) => present.has(name));
-    if (order.length < PROBE_FANOUT) {
-      const rest = [...present].filter((name) => !order.includes(name));
+    probeOrder = probeOrder.filter((name) => present.has(name));
+    if (probeOrder.length < PROBE_FANOUT) {
+      const rest = [...present].filter((name) => !probeOrder.includes(name));
       for (let index = rest.length - 1; index > 0; index -= 1) {
         const other = random.nextIndex(index + 1);
         [rest[index], rest[other]] = [rest[other] as string, rest[index] as string];
       }
-      order = [...order, ...rest];
+      probeOrder = [...probeOrder, ...rest];
     }
-    return order.splice(0, PROBE_FANOUT);
+    return probeOrder.splice(0, PROBE_FANOUT);
   }
 
-  function listUnknown(): Contact[] {
+  function listUnknownContacts(): Contact[] {
     return [...contacts.values()].filter((contact) => findMember(contact.name) === undefined);
   }
 
   /** Whoever starts knows nobody, and should be known by all within a second or two. */
-  function sendFirstProbes(nowMs: number): void {
-    const unknown = listUnknown().filter(({ name }) => name !== self.name);
+  function sendBootstrapProbes(nowMs: number): void {
+    const unknown = listUnknownContacts().filter(({ name }) => name !== self.name);
     while (unknown.length > PROBE_FANOUT) unknown.splice(random.nextIndex(unknown.length), 1);
     for (const { name } of unknown) postPing(name, undefined, nowMs);
   }
 
   function sendAbsentProbe(nowMs: number): void {
-    const unknown = listUnknown();
+    const unknown = listUnknownContacts();
     const dead = listMembers().filter((fact) => !isPresent(fact) && fact.state !== FactState.LEFT);
     const absent = [...unknown.map((contact) => contact.name), ...dead.map((fact) => fact.subject)];
-    const isDue = unknown.length > 0 || round % DEAD_PROBE_ROUNDS === 0;
+    const isDue = unknown.length > 0 || roundNumber % DEAD_PROBE_INTERVAL_ROUNDS === 0;
     const target = absent[random.nextIndex(absent.length)];
     if (isDue && target !== undefined && target !== self.name) postPing(target, undefined, nowMs);
   }
 
   function startRound(nowMs: number): void {
-    round += 1;
-    roundMs = nowMs;
+    roundNumber += 1;
+    lastRoundMs = nowMs;
     const targets = takeProbeTargets();
     for (const target of targets) postPing(target, undefined, nowMs);
-    if (targets.length === 0) sendFirstProbes(nowMs);
+    if (targets.length === 0) sendBootstrapProbes(nowMs);
     else sendAbsentProbe(nowMs);
   }
 
-  function computePeriodMs(): number {
-    return listOthers().length === 0 ? Math.min(ALONE_PERIOD_MS, probePeriodMs) : probePeriodMs;
+  function computeRoundPeriodMs(): number {
+    return listOthers().length === 0 ? Math.min(BOOTSTRAP_PERIOD_MS, probePeriodMs) : probePeriodMs;
   }
 
   function setSuspect(target: string, nowMs: number): void {
@@ -320,12 +320,16 @@
       const ageMs = nowMs - probe.sentMs;
       if (ageMs >= PROBE_TIMEOUT_MS) {
         probes.delete(probe.sequence);
-        if (probe.asker === undefined) setSuspect(probe.target, nowMs);
-      } else if (ageMs >= DIRECT_TIMEOUT_MS && !probe.isIndirect && probe.asker === undefined) {
+        if (probe.requester === undefined) setSuspect(probe.target, nowMs);
+      } else if (
+        ageMs >= DIRECT_PROBE_TIMEOUT_MS &&
+        !probe.isIndirect &&
+        probe.requester === undefined
+      ) {
         probe.isIndirect = true;
         // Guards against one bad link: it shows as one member suspecting what all others reach.
-        for (const helper of chooseOthers(INDIRECT_FANOUT, [probe.target])) {
-          postBody(helper.subject, {
+        for (const relay of chooseOthers(INDIRECT_FANOUT, [probe.target])) {
+          postBody(relay.subject, {
             case: 'pingRequest',
             value: {
               $typeName: 'hyssoptally.peer.v1.PingRequest',
@@ -342,27 +346,27 @@
   function checkSuspects(nowMs: number): void {
     for (const [name, sinceMs] of suspectSinceMs) {
       const known = findMember(name);
-      if (nowMs - sinceMs >= SUSPECT_MS && known !== undefined) {
+      if (nowMs - sinceMs >= SUSPICION_TIMEOUT_MS && known !== undefined) {
         storeFact(createFact({ ...known, state: FactState.DEAD }), nowMs);
       }
     }
     for (const [name, sinceMs] of deadSinceMs) {
-      if (nowMs - sinceMs >= TOMBSTONE_MS) {
+      if (nowMs - sinceMs >= TOMBSTONE_RETENTION_MS) {
         deadSinceMs.delete(name);
-        facts.delete(buildKey({ kind: FactKind.MEMBER, subject: name }));
+        facts.delete(buildFactKey({ kind: FactKind.MEMBER, subject: name }));
       }
     }
   }
 
-  function checkAgreement(from: string, theirHash: number, nowMs: number): void {
-    const isDue = nowMs - syncMs >= SYNC_PERIOD_MS;
-    if (!isDue || theirHash === hashFacts(facts.values())) return;
-    syncMs = nowMs;
+  function checkFactsHash(from: string, peerHash: number, nowMs: number): void {
+    const isDue = nowMs - lastSyncMs >= SYNC_PERIOD_MS;
+    if (!isDue || peerHash === hashFacts(facts.values())) return;
+    lastSyncMs = nowMs;
     postSync(from, true);
   }
 
   /** A seed is probed by its address, before its name is known. */
-  function isTarget(target: string, subject: string): boolean {
+  function isProbeTarget(target: string, subject: string): boolean {
     return target === subject || contacts.get(target)?.address === findMember(subject)?.address;
   }
 
@@ -371,23 +375,23 @@
     body: Extract<GossipBody, { case: 'ack' }>,
     nowMs: number,
   ): void {
-    const { sequence: answered, subject, factsHash } = body.value;
-    const probe = probes.get(answered);
-    if (probe === undefined || !isTarget(probe.target, subject)) return;
-    probes.delete(answered);
+    const { sequence: answeredSequence, subject, factsHash } = body.value;
+    const probe = probes.get(answeredSequence);
+    if (probe === undefined || !isProbeTarget(probe.target, subject)) return;
+    probes.delete(answeredSequence);
     suspectSinceMs.delete(subject);
-    if (probe.asker !== undefined) {
-      postBody(probe.asker.name, {
+    if (probe.requester !== undefined) {
+      postBody(probe.requester.name, {
         case: 'ack',
-        value: { ...body.value, sequence: probe.asker.sequence },
+        value: { ...body.value, sequence: probe.requester.sequence },
       });
       return;
     }
-    if (from === subject) checkAgreement(from, factsHash, nowMs);
+    if (from === subject) checkFactsHash(from, factsHash, nowMs);
   }
 
   function handleReceived(from: string, body: GossipBody, nowMs: number): void {
-    for (const fact of body.value.facts) takeFact(fact, nowMs);
+    for (const fact of body.value.facts) applyFact(fact, nowMs);
     switch (body.case) {
       case 'ping':
         postBody(from, {
@@ -400,7 +404,7 @@
             factsHash: hashFacts(facts.values()),
           },
         });
-        checkAgreement(from, body.value.factsHash, nowMs);
+        checkFactsHash(from, body.value.factsHash, nowMs);
         break;
       case 'pingRequest':
         postPing(body.value.target, { name: from, sequence: body.value.sequence }, nowMs);
@@ -420,7 +424,7 @@
     message: Extract<MembershipMessage, { kind: 'endpoint' }>,
     nowMs: number,
   ): void {
-    const key = buildKey({ kind: FactKind.ENDPOINT, subject: message.endpoint });
+    const key = buildFactKey({ kind: FactKind.ENDPOINT, subject: message.endpoint });
     const known = facts.get(key);
     const state = message.isLeaving ? FactState.LEAVING : FactState.ALIVE;
     if (known?.state === state || (known === undefined && !message.isLeaving)) return;
@@ -477,7 +481,7 @@
         handleLeave(FactState.LEFT, nowMs);
         break;
       case 'tick':
-        if (nowMs - roundMs >= computePeriodMs()) startRound(nowMs);
+        if (nowMs - lastRoundMs >= computeRoundPeriodMs()) startRound(nowMs);
         checkProbes(nowMs);
         checkSuspects(nowMs);
         break;
--- a/src/membership/reachability.test.ts
+++ b/src/membership/reachability.test.ts
@@ -1,5 +1,5 @@
 import { describe } from '../test/describe.js';
-import { SILENT_MS, createReachability } from './reachability.js';
+import { SILENCE_TIMEOUT_MS, createReachability } from './reachability.js';
 
 const DATA_CENTRES = ['own', 'far'];
 
@@ -7,25 +7,25 @@
   // A data centre is cut off; its endpoints are still registered, and each call sent there waits
   // until its caller gives up. Its instances fall silent while the neighbours still tell their loads.
   it('notices a data centre whose instances all fell silent', (t) => {
-    const reach = createReachability('own');
-    for (const name of DATA_CENTRES) reach.recordHeard(name, 0);
-    reach.recordHeard('own', SILENT_MS);
-    t.true(reach.isCut('far', SILENT_MS));
-    reach.recordHeard('far', SILENT_MS + 1);
-    t.false(reach.isCut('far', SILENT_MS + 2));
+    const reachability = createReachability('own');
+    for (const name of DATA_CENTRES) reachability.recordHeard(name, 0);
+    reachability.recordHeard('own', SILENCE_TIMEOUT_MS);
+    t.true(reachability.isCut('far', SILENCE_TIMEOUT_MS));
+    reachability.recordHeard('far', SILENCE_TIMEOUT_MS + 1);
+    t.false(reachability.isCut('far', SILENCE_TIMEOUT_MS + 2));
   });
 
   // This instance alone is cut off from its peers; endpoints everywhere still answer it.
   it('takes its own silence for no cut of the others', (t) => {
     const reach = createReachability('own');
     for (const name of DATA_CENTRES) reach.recordHeard(name, 0);
-    t.false(reach.isCut('far', SILENT_MS));
+    t.false(reach.isCut('far', SILENCE_TIMEOUT_MS));
   });
 
   it('knows nothing of data centres it never heard', (t) => {
     const reach = createReachability('own');
     reach.recordHeard('own', 0);
     t.false(reach.isCut('far', 1));
-    t.false(reach.isCut('own', SILENT_MS + 1));
+    t.false(reach.isCut('own', SILENCE_TIMEOUT_MS + 1));
   });
 });
--- a/src/membership/reachability.ts
+++ b/src/membership/reachability.ts
@@ -6,7 +6,7 @@
  */
 
 /** Silence after which an instance counts as not heard, in milliseconds: three heartbeats lost. */
-export const SILENT_MS = 1000;
+export const SILENCE_TIMEOUT_MS = 1000;
 
 /** When each data centre was heard. */
 export interface Reachability {
@@ -18,19 +18,19 @@
 
 /** Builds a record of nobody heard. */
 export function createReachability(ownDataCentre: string): Reachability {
-  const heardMs = new Map<string, number>();
+  const lastHeardMs = new Map<string, number>();
 
   function isHeard(dataCentre: string, nowMs: number): boolean {
-    return nowMs - (heardMs.get(dataCentre) ?? -Infinity) < SILENT_MS;
+    return nowMs - (lastHeardMs.get(dataCentre) ?? -Infinity) < SILENCE_TIMEOUT_MS;
   }
 
   return {
     recordHeard(dataCentre, nowMs) {
-      heardMs.set(dataCentre, nowMs);
+      lastHeardMs.set(dataCentre, nowMs);
     },
     isCut(dataCentre, nowMs) {
       // What was never heard has not started, or tells nothing: no evidence either way.
-      if (dataCentre === ownDataCentre || !heardMs.has(dataCentre)) return false;
+      if (dataCentre === ownDataCentre || !lastHeardMs.has(dataCentre)) return false;
       return !isHeard(dataCentre, nowMs) && isHeard(ownDataCentre, nowMs);
     },
   };
