--- a/src/claims/attempt-ledger.ts
+++ b/src/claims/attempt-ledger.ts
@@ -1,11 +1,10 @@
 /**
- * What this entry did with each attempt under a claim. Asked by other entries; `abandoned` is a
- * promise that the attempt will never be sent, so it is only ever set before sending, and sending
- * is refused afterwards.
+ * State of each attempt made by this instance under a claim; other instances query it. `abandoned`
+ * guarantees that the attempt is never sent: it is set only before sending, and sending is refused
+ * afterwards.
  */
 import { createBoundedMap } from '../utils/bounded-map.js';
 
-/** What is known of an attempt here. */
 export const ATTEMPT_STATE = {
   Pending: 'pending',
   Abandoned: 'abandoned',
@@ -13,20 +12,18 @@
 } as const;
 export type AttemptState = (typeof ATTEMPT_STATE)[keyof typeof ATTEMPT_STATE];
 
-/** Attempts remembered; an attempt that was forgotten is unknown, which proves nothing. */
+/** A forgotten attempt is reported as unknown, which proves nothing. */
 const ATTEMPTS_MAX = 20_000;
 
-/** The ledger of one entry. */
 export interface AttemptLedger {
   add(attemptId: string): void;
-  /** Marks the attempt as sent; false if it was abandoned and must not be sent. */
+  /** Marks a pending attempt as sent; false if it is not pending and must not be sent. */
   take(attemptId: string): boolean;
-  /** Promises never to send the attempt; false if it was sent already. */
+  /** Marks the attempt as never to be sent; false if it was sent already. */
   remove(attemptId: string): boolean;
   get(attemptId: string): AttemptState | undefined;
 }
 
-/** Builds an empty ledger. */
 export function createAttemptLedger(): AttemptLedger {
   const attempts = createBoundedMap<string, AttemptState>(ATTEMPTS_MAX);
   return {
--- a/src/claims/claim-document.ts
+++ b/src/claims/claim-document.ts
@@ -1,46 +1,44 @@
-/** What the platform's table keeps for one request that may run at most once. */
+/** The stored document of a request that may run at most once. */
 import type { ItemKey } from '../storage/table-client.js';
 import { hashText } from '../utils/hash.js';
 
-/** How far a claimed request got, as far as the table knows. */
+/** Recorded progress of a claimed request. */
 export const CLAIM_STATE = {
-  /** Claimed by an attempt; it may run at any moment, or have run. */
+  /** Claimed by an attempt that may run at any time or may have run. */
   Claimed: 'claimed',
-  /** Proved not to have run; the next attempt may take it over. */
+  /** Proved not to have run; another attempt may take it over. */
   Free: 'free',
-  /** Ran to its end; the answer is kept for replay. */
+  /** Completed; the answer is kept for replay. */
   Done: 'done',
-  /** Was sent, and how it ended is not known. */
+  /** Sent, with unknown outcome. */
   Unknown: 'unknown',
 } as const;
 export type ClaimState = (typeof CLAIM_STATE)[keyof typeof CLAIM_STATE];
 
-/** An answer kept for replay. */
 export interface StoredAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** The document of one claim. */
 export interface ClaimDocument {
   readonly attemptId: string;
-  /** The entry instance that holds the attempt. */
+  /** The instance that holds the attempt. */
   readonly entry: string;
   readonly bodyHash: string;
   readonly state: ClaimState;
-  /** Wall clock of the claimant when it began, milliseconds since the epoch. */
+  /** Wall clock of the claimant at the start, in milliseconds since the epoch. */
   readonly claimedWallMs: number;
-  /** Present when done and small enough to keep. */
+  /** Present if the request is done and the answer small enough to keep. */
   readonly answer?: StoredAnswer;
 }
 
-/** Claims are kept this long; later the same key names a new request. */
+/** After this time the same key identifies a new request. */
 export const CLAIM_RETENTION_MS = 86_400_000;
-/** Answers up to this many characters are kept for replay. */
+/** Longest answer kept for replay, in characters. */
 export const STORED_ANSWER_MAX = 65_536;
 
-/** Where the claim of an organisation's key lives; keys are apart per organisation. */
+/** Keys of different organisations are separate. */
 export function buildClaimKey(organisation: string, idempotencyKey: string): ItemKey {
   return { partition: `claim|${organisation}|${hashText(idempotencyKey)}`, sort: 'claim' };
 }
--- a/src/claims/claim.test.ts
+++ b/src/claims/claim.test.ts
@@ -10,7 +10,7 @@
 
 const BODY = 'body-hash';
 
-/** One key's item in the table, with writes that may land late. */
+/** One item of the table, whose writes may be applied late. */
 function createFakeItem() {
   let item: ReadClaim | undefined;
   const delayedWrites: (() => void)[] = [];
@@ -58,7 +58,7 @@
   }
 }
 
-/** One attempt at the same key by some entry, stepped by the test. */
+/** An attempt at the same key, stepped by the test. */
 interface Attempt {
   readonly claim: Claim;
   readonly attemptId: string;
@@ -85,7 +85,7 @@
   return state === 'abandoned' ? 'abandoned' : 'sent';
 }
 
-/** Carries out one command of an attempt. */
+/** Executes the attempt's current command. */
 function runStep(
   item: FakeItem,
   attempts: readonly Attempt[],
@@ -120,7 +120,7 @@
       });
       break;
     case 'proceed':
-      // The last look before sending, as the entry does it.
+      // The final check before sending, as in production.
       if (attempt.runs === 0 && attempt.ledger.take(attempt.attemptId)) attempt.runs += 1;
       break;
     default:
@@ -134,8 +134,8 @@
 
 describe('claim', ({ describe: describeInner, it }) => {
   it('lets one attempt run at most, whatever the table and the entries do', (t) => {
-    // An order is shipped twice. The same key comes through several entries at once while answers
-    // are lost, inserts land late, entries pause between any two steps and give up at any moment.
+    // Guards against running a request twice when several instances use the same key, responses are
+    // lost, inserts are applied late and attempts are abandoned at any step.
     const property = fc.property(
       fc.array(
         fc.record({
@@ -154,7 +154,7 @@
         );
         for (const step of steps) {
           const attempt = attempts[step.attempt] as Attempt;
-          // Giving up is a promise never to send, unless it was sent already.
+          // An abandoned attempt is never sent, unless it was sent already.
           if (step.isAbandoning) attempt.ledger.remove(attempt.attemptId);
           runStep(item, attempts, attempt, step.fault);
           if (step.isDelayedApplied) item.applyDelayed();
@@ -171,8 +171,8 @@
   });
 
   it('does not go on when its insert might land after the read-back said absent', (t) => {
-    // An order is shipped twice. The insert's answer is lost, the read-back finds nothing, the entry
-    // sends; then the insert lands, and a later try elsewhere finds a claim nobody speaks for.
+    // Guards against running a request twice: the insert's response is lost, the read finds
+    // nothing, and the insert is applied only after the request was sent.
     const item = createFakeItem();
     const attempt = startAttempt('a0', createAttemptLedger());
     runStep(item, [attempt], attempt, 'late');
@@ -215,8 +215,8 @@
     });
 
     itInner('of an entry that cannot be asked may have run', (t) => {
-      // An order is shipped twice. The first entry died after sending; the second finds its claim,
-      // gets no answer from it, and takes silence for proof that nothing was sent.
+      // Guards against running a request twice because an instance that died after sending does not
+      // respond and its silence is taken as proof that nothing was sent.
       const claim = createClaim({ attemptId: 'mine', entry: 'entry', bodyHash: BODY });
       claim.handle({ kind: 'start', monotonicMs: 0, wallMs: 0 });
       claim.handle({ kind: 'inserted', ending: 'conflict' });
@@ -238,8 +238,8 @@
   });
 
   it('grows old by either clock', (t) => {
-    // A suspended machine's monotonic clock stood still, or its wall clock was set back: by the other
-    // clock the claim is old, and sending now might run what another entry has taken over.
+    // Guards against sending an attempt whose claim another instance may have taken over, after the
+    // monotonic clock stood still or the wall clock was set back.
     const claim = createClaim({ attemptId: 'a', entry: 'entry', bodyHash: BODY });
     claim.handle({ kind: 'start', monotonicMs: 1000, wallMs: 5_000_000 });
     t.true(claim.isFresh(1000 + CLAIM_SEND_WINDOW_MS - 1, 5_000_000));
--- a/src/claims/claim.ts
+++ b/src/claims/claim.ts
@@ -1,11 +1,11 @@
 /**
- * The claim of one non-repeatable request, free of I/O. One conditional insert decides who may run
- * it. An attempt goes on only when the table has said that the claim is its own; every doubt ends in
- * not sending.
+ * State machine of the claim of one non-repeatable request; does no I/O. A conditional insert
+ * decides which attempt may run it. An attempt proceeds only if the table confirms that the claim
+ * is its own; in case of doubt it is not sent.
  *
- * Another's claim is taken over only with proof that it will never run: the table says it is free,
- * the entry that holds it promises so, or it is older than the retention, which is far longer than
- * the time an attempt has between claiming and sending.
+ * An existing claim is taken over only with proof that its attempt will never run: the table marks
+ * it as free, the instance that holds it has abandoned it, or it is older than the retention, which
+ * far exceeds the time an attempt has between claiming and sending.
  */
 import { OUTCOME, FAILURE } from '../types/outcomes.js';
 import type { RequestFailure } from '../types/outcomes.js';
@@ -13,23 +13,21 @@
 import { CLAIM_RETENTION_MS, CLAIM_STATE } from './claim-document.js';
 import type { ClaimDocument, StoredAnswer } from './claim-document.js';
 
-/** An attempt must be sent within this time of starting to claim, by either clock. */
+/** Time after the start within which an attempt must be sent, by both clocks. */
 export const CLAIM_SEND_WINDOW_MS = 60_000;
 const RETRY_AFTER_MS = 1000;
 
-/** How a write ended. */
 export type WriteEnding = 'written' | 'conflict' | 'rejected' | 'ambiguous';
 
-/** What another entry says of its attempt. */
+/** What another instance reports about its attempt. */
 export type AttemptVerdict = 'abandoned' | 'sent' | 'unknown';
 
-/** A claim as read, with its item version. */
+/** A stored claim with its item version. */
 export interface ReadClaim {
   readonly version: number;
   readonly document: ClaimDocument;
 }
 
-/** What a claim is told. */
 export type ClaimMessage =
   | { readonly kind: 'start'; readonly monotonicMs: number; readonly wallMs: number }
   | { readonly kind: 'inserted'; readonly ending: WriteEnding }
@@ -38,7 +36,7 @@
   | { readonly kind: 'answered'; readonly verdict: AttemptVerdict }
   | { readonly kind: 'taken_over'; readonly ending: WriteEnding };
 
-/** What a claim asks for; the last three end it. */
+/** Commands to the caller; `proceed`, `replay` and `refuse` end the claim. */
 export type ClaimCommand =
   | { readonly kind: 'insert'; readonly document: ClaimDocument }
   | { readonly kind: 'read' }
@@ -52,27 +50,24 @@
   | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | { readonly kind: 'refuse'; readonly failure: RequestFailure };
 
-/** Settings of a claim. */
 export interface ClaimOptions {
   readonly attemptId: string;
   readonly entry: string;
   readonly bodyHash: string;
 }
 
-/** One claim. */
 export interface Claim {
   handle(message: ClaimMessage): ClaimCommand;
-  /** Whether the attempt may still be sent: neither clock says too much time has passed. */
+  /** Whether the attempt may still be sent, by both clocks. */
   isFresh(monotonicMs: number, wallMs: number): boolean;
   buildDocument(state: ClaimDocument['state'], answer?: StoredAnswer): ClaimDocument;
 }
 
-/** Builds a claim that has not started. */
 export function createClaim(options: ClaimOptions): Claim {
   const { attemptId, entry, bodyHash } = options;
   let startedMonotonicMs = 0;
   let startedWallMs = 0;
-  /** The write whose answer is not known: nothing else may make this attempt go on. */
+  /** The write whose result is unknown. */
   let ambiguousWrite: { kind: 'insert' } | { kind: 'take_over'; version: number } | undefined;
   let existingClaim: ReadClaim | undefined;
 
@@ -149,10 +144,10 @@
   }
 
   function handleRead(claim: ReadClaim | undefined, wallMs: number): ClaimCommand {
-    // Absent after a doubtful insert: the insert may still land, so this attempt must not go on.
+    // Absent after an ambiguous insert, which may still be applied: this attempt must not proceed.
     if (claim === undefined) return refuseUnconfirmed();
     if (claim.document.attemptId === attemptId) return { kind: 'proceed', version: claim.version };
-    // After a doubtful takeover the claim may yet become ours without our knowing: stop here.
+    // An ambiguous takeover may still be applied after this read: stop here.
     if (ambiguousWrite !== undefined)
       return ambiguousWrite.kind === 'insert'
         ? handleExistingClaim(claim, wallMs)
@@ -206,7 +201,7 @@
       }
     },
     isFresh(monotonicMs, wallMs) {
-      // A suspended machine's monotonic clock may stand still; a stepped wall clock may go back.
+      // A suspension may stop the monotonic clock, and the wall clock may be set back.
       const isMonotonicFresh = monotonicMs - startedMonotonicMs < CLAIM_SEND_WINDOW_MS;
       const isWallFresh = Math.abs(wallMs - startedWallMs) < CLAIM_SEND_WINDOW_MS;
       return isMonotonicFresh && isWallFresh;
--- a/src/directory/endpoint-directory.test.ts
+++ b/src/directory/endpoint-directory.test.ts
@@ -37,8 +37,8 @@
   });
 
   block('around an outage of the registry', ({ it }) => {
-    // The registry is away for five seconds and forgets every entry; endpoints renew theirs up to
-    // two seconds after its return. Emptying the pool meanwhile would refuse every call.
+    // Guards against refusing every call after a registry outage that lost all entries, before the
+    // endpoints have had time to renew them.
     it('keeps lapsed endpoints until they had time to renew', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a'), buildEndpoint('b')] }, 0);
@@ -53,9 +53,8 @@
       t.deepEqual(changes, [{ endpoint: buildEndpoint('b'), change: 'removed' }]);
     });
 
-    // The registry turns this instance away and serves the others, which tell it what the registry says.
-    // An endpoint that they say is gone has not lapsed: kept, it would go on getting calls for as long as
-    // this instance is turned away.
+    // Guards against calls to a removed endpoint while the registry refuses only this instance: an
+    // endpoint that peers report as removed has not lapsed.
     it('drops at once what is gone by the word of an instance that the registry answers', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a'), buildEndpoint('b')] }, 0);
@@ -66,13 +65,13 @@
         directory.listOpen('p').map(({ id }) => id),
         ['a'],
       );
-      // Its own way back to the registry is a return like any other.
+      // Reaching the registry again starts the renewal window, as after any outage.
       directory.handle({ kind: 'source_back' }, 5000);
       directory.handle({ kind: 'listed', endpoints: [] }, 5001);
       t.is(directory.listOpen('p').length, 1);
     });
 
-    // An endpoint said before the outage that it leaves: its missing entry is no lapse.
+    // Guards against keeping an endpoint that announced before the outage that it is leaving.
     it('does not keep an endpoint that was leaving', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a', true)] }, 0);
@@ -82,8 +81,8 @@
       t.is(directory.find('a'), undefined);
     });
 
-    // While entries lapse, another program writes bytes over one. Kept like a lapsed one, calls would
-    // go on being sent to an endpoint of which nothing is known.
+    // Guards against calls to an endpoint whose entry was overwritten with unreadable data during
+    // an outage.
     it('does not keep an endpoint whose entry cannot be read', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a')] }, 0);
@@ -94,12 +93,12 @@
   });
 
   block('where an endpoint starts again under its id', ({ it }) => {
-    // An engine crashes and is back within two seconds under the name it had, before its entry lapsed.
-    // Believed to be the same, its caches, its load and its connections would be those of before.
+    // Guards against carrying over the load, cache and connection state of an endpoint that crashed
+    // and registered again under its id before its entry lapsed.
     it('says that the earlier start has ended, once', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a', false, 500)] }, 0);
-      // The clock of the endpoint stepped back between its starts.
+      // The endpoint's clock stepped back between its starts.
       const again = { kind: 'registered', endpoint: buildEndpoint('a', false, 400) } as const;
       t.deepEqual(directory.handle(again, 10), [
         { endpoint: buildEndpoint('a', false, 500), change: 'restarted' },
--- a/src/directory/endpoint-directory.ts
+++ b/src/directory/endpoint-directory.ts
@@ -1,58 +1,58 @@
 /**
- * The endpoints that may get new calls, free of I/O, from what a registry says of them. An endpoint
- * that is leaving or whose entry was removed gets no new call. Entries that lapse while the registry
- * is away are kept until it has been back for a moment: the endpoints renew them then.
+ * The endpoints that accept new calls, built from the entries of a registry; does no I/O. An
+ * endpoint that is leaving or was removed gets no new calls. Entries that lapse during a registry
+ * outage are kept until the endpoints have had time to renew them.
  */
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { assertNever } from '../utils/assert-never.js';
 
-/** An endpoint that lives has renewed its entry this long after the registry's return, in milliseconds: the platform's promise. */
+/** Time in which live endpoints renew their entries after an outage, as the platform guarantees. */
 export const RENEWAL_WINDOW_MS = 2000;
 
-/** What the directory is told. */
 export type DirectoryMessage =
   | { readonly kind: 'registered'; readonly endpoint: RegisteredEndpoint }
   | { readonly kind: 'removed'; readonly id: string }
-  /** The entry is there and names no endpoint that could be used. */
+  /** The entry exists but does not describe a usable endpoint. */
   | { readonly kind: 'unreadable'; readonly id: string }
-  /** Everything that is registered; what is not in it was removed. */
+  /** All registered endpoints; those missing from it were removed. */
   | { readonly kind: 'listed'; readonly endpoints: readonly RegisteredEndpoint[] }
   | { readonly kind: 'source_lost' }
   | { readonly kind: 'source_back' }
-  /** The registry answers another instance, which tells what it says: entries may still be renewed this long. */
+  /**
+   * A peer that reaches the registry reports its state; entries may still be renewed for `forMs`.
+   */
   | { readonly kind: 'renewing'; readonly forMs: number }
   | { readonly kind: 'tick' };
 
-/** What changed for whom. */
 export interface DirectoryChange {
-  /** As it was known before the change; for `added`, `leaving` and `renewed` as it is known now. */
+  /** The state before the change; for `added`, `leaving` and `renewed` the state after it. */
   readonly endpoint: RegisteredEndpoint;
   readonly change: 'added' | 'leaving' | 'lapsed' | 'renewed' | 'restarted' | 'removed';
 }
 
-/** The directory of one process. */
 export interface EndpointDirectory {
   handle(message: DirectoryMessage, nowMs: number): DirectoryChange[];
-  /** Endpoints of a pool that may get new calls. */
+  /** Endpoints of a pool that accept new calls. */
   listOpen(pool: string): readonly RegisteredEndpoint[];
   find(id: string): RegisteredEndpoint | undefined;
   listAll(): readonly RegisteredEndpoint[];
-  /** For how many more milliseconds lapsed entries may be renewed; 0 while the registry is away or has long been back. */
+  /**
+   * Milliseconds for which lapsed entries may still be renewed; 0 during an outage and after the
+   * window.
+   */
   computeRenewalLeft(nowMs: number): number;
 }
 
 interface Entry {
   endpoint: RegisteredEndpoint;
-  /** Its registration lapsed while the registry was away. */
+  /** Whether the entry lapsed during a registry outage. */
   isLapsed: boolean;
 }
 
-/** Builds an empty directory. */
 export function createEndpointDirectory(): EndpointDirectory {
   const entries = new Map<string, Entry>();
   let openByPool = new Map<string, RegisteredEndpoint[]>();
   let isSourceLost = false;
-  /** Lapsed entries may be renewed until then. */
   let renewalEndMs = -Infinity;
   let changes: DirectoryChange[] = [];
 
@@ -63,8 +63,8 @@
   function handleRegistered(endpoint: RegisteredEndpoint): void {
     const known = entries.get(endpoint.id);
     if (known === undefined) recordChange(endpoint, 'added');
-    // Guards against believing of a new start what was seen of the one before: it shows as calls sent
-    // on connections that the crash left half open, and as a sound endpoint that is passed over.
+    // Guards against applying an earlier start's state to a new one: calls would be sent on
+    // half-open connections, and a healthy endpoint would be avoided.
     else if (known.endpoint.startId !== endpoint.startId) recordChange(known.endpoint, 'restarted');
     else if (known.isLapsed) recordChange(endpoint, 'renewed');
     if (endpoint.isLeaving && known?.endpoint.isLeaving !== true) recordChange(endpoint, 'leaving');
@@ -80,8 +80,8 @@
     const entry = entries.get(id);
     if (entry === undefined || entry.isLapsed) return;
     const isRenewalPossible = isSourceLost || nowMs < renewalEndMs;
-    // Guards against emptying a pool whose entries lapsed with the registry: it shows as every
-    // endpoint vanishing at the registry's return although all of them answer.
+    // Guards against emptying a pool whose entries lapsed during a registry outage while the
+    // endpoints still answer.
     if (isRenewalPossible && !entry.endpoint.isLeaving) {
       entry.isLapsed = true;
       recordChange(entry.endpoint, 'lapsed');
@@ -90,7 +90,7 @@
     removeEntry(entry);
   }
 
-  /** Not kept like a lapsed entry: somebody wrote that there is nothing to use under this id. */
+  /** Not kept like a lapsed entry: it was overwritten with something that is not an endpoint. */
   function handleUnreadable(id: string): void {
     const entry = entries.get(id);
     if (entry !== undefined) removeEntry(entry);
@@ -129,8 +129,8 @@
         isSourceLost = false;
         break;
       case 'renewing':
-        // Guards against endpoints that are gone and still get calls of an instance which the registry
-        // turns away while it serves the others: what they tell was removed, not lapsed.
+        // Guards against calls to removed endpoints while the registry refuses only this instance:
+        // an endpoint that peers report as removed has not lapsed.
         isSourceLost = false;
         renewalEndMs = Math.max(renewalEndMs, nowMs + message.forMs);
         break;
--- a/src/directory/start-id.ts
+++ b/src/directory/start-id.ts
@@ -1,15 +1,13 @@
 /**
- * Names one start of an endpoint. An endpoint that crashes may register itself again under its id;
- * it then holds nothing and knows nothing of before. Beliefs kept by id alone would outlive the
- * start they were gained from.
+ * Identifies one start of an endpoint. An endpoint that crashes may register again under the same
+ * id without its previous state, so what is known of it must not outlive the start.
  */
 
 const START_TIME_RADIX = 36;
 
 /**
- * Names the start of an endpoint at `startedMs`, the moment of its start by its own clock, in
- * milliseconds. The moment only tells starts apart and is never compared for order, since that clock
- * may step back between two starts.
+ * Builds the id from the start time by the endpoint's own clock. The times are never compared for
+ * order, since that clock may step back between two starts.
  */
 export function buildStartId(id: string, startedMs: number | undefined): string {
   return startedMs === undefined ? id : `${id}@${startedMs.toString(START_TIME_RADIX)}`;
--- a/src/knowledge/behind-detector.ts
+++ b/src/knowledge/behind-detector.ts
@@ -1,20 +1,18 @@
 /**
- * Guards against a feed whose connection goes silent while the source answers others, which shows as an
- * endpoint that still gets calls after it said that it leaves, for as long as a call may wait.
+ * Guards against a stalled feed connection while the source still answers peers: an endpoint would
+ * get calls after it announced that it is leaving.
  */
 
-/** A watcher that others are ahead of for this long, in milliseconds, doubts its own connection: a change is told to all watchers within some tens. */
+/** Well above the tens of milliseconds within which all watchers receive a change. */
 const FEED_LAG_MAX_MS = 700;
 
-/** Doubts the own feed. */
 export interface BehindDetector {
-  /** A peer told of a revision; whether the own feed has been behind for so long that it is doubted. */
+  /** Compares the own revision with a peer's; true once the own feed has lagged for too long. */
   checkBehind(peerRevision: number, ownRevision: number, nowMs: number): boolean;
-  /** The own feed is not in use. */
+  /** Discards the state while the own feed is not in use. */
   stop(): void;
 }
 
-/** Builds a detector that doubts nothing. */
 export function createBehindDetector(): BehindDetector {
   let laggingSinceMs: number | undefined;
   return {
--- a/src/knowledge/configuration-knowledge.test.ts
+++ b/src/knowledge/configuration-knowledge.test.ts
@@ -6,8 +6,7 @@
 import { createSuspensionDetector } from './suspension-detector.js';
 
 describe('knowledge of the configuration', ({ it }) => {
-  // A read that lags seconds behind brings version 7 after version 9 took a key away: applying it
-  // would let the key in again.
+  // Guards against accepting a removed key again after a stale read of an older version.
   it('never goes back to an older version', (t) => {
     const knowledge = createConfigurationKnowledge<string>();
     t.is(knowledge.record({ version: 9, configuration: 'nine', knownAtMs: 100 }), 'applied');
@@ -28,19 +27,19 @@
 });
 
 describe('source clock', ({ it }) => {
-  // A call hangs for seconds on a slow store; taking its answer for as young as its arrival would
-  // keep a key alive that was taken away meanwhile.
+  // Guards against accepting a removed key for too long because a slow response is dated by its
+  // arrival.
   it('never takes an answer for younger than it is', (t) => {
     const clock = createSourceClock();
     clock.record({ sourceNowMs: 1000, sentMs: 50 });
     t.is(clock.computeAge(1000, 50), 0);
-    // Answered at 3050 of this clock, arrived long after.
+    // Answered at 3050 on this clock and received much later.
     clock.record({ sourceNowMs: 4000, sentMs: 60 });
     t.is(clock.computeAge(4000, 5000), 1950);
   });
 
-  // A machine was suspended: its clock stood still while the source's went on. What it knew is
-  // distrusted whole until the source or a peer has said what time it is, and is then as old as it is.
+  // Guards against trusting old data after a suspension, in which the process's clock stood still
+  // while the source's advanced.
   it('knows no age after a reset, and the true one after the next answer', (t) => {
     const clock = createSourceClock();
     clock.record({ sourceNowMs: 1000, sentMs: 50 });
@@ -51,8 +50,8 @@
     t.is(clock.computeAge(1000, 60), 8000);
   });
 
-  // Instances that never call the source learn its clock from each other. However many pass it on, and
-  // however slowly, nobody may take a moment of it for younger than it is.
+  // Guards against underestimating the age of data when instances learn the source's clock from
+  // each other over several slow hops.
   it('errs towards the past through any number of peers', (t) => {
     const delay = fc.integer({ min: 0, max: 3000 });
     const hop = fc.record({
@@ -62,7 +61,7 @@
     });
     fc.assert(
       fc.property(fc.array(hop, { minLength: 1, maxLength: 6 }), (hops) => {
-        // True time is the source's; the clock of each instance is ahead of it by its own offset.
+        // True time is the source's; each instance's clock is ahead of it by its own offset.
         const time = { trueMs: 50_000 };
         let clock: SourceClock | undefined;
         let ownOffsetMs = 0;
@@ -82,7 +81,7 @@
 });
 
 describe('suspension detector', ({ it }) => {
-  // A machine is suspended for seconds: the monotonic clock stands still, the time of day does not.
+  // During a suspension the monotonic clock stands still and the wall clock advances.
   it('notices that the monotonic clock stood still', (t) => {
     let wallMs = 10_000;
     let monotonicMs = 0;
--- a/src/knowledge/configuration-knowledge.ts
+++ b/src/knowledge/configuration-knowledge.ts
@@ -1,40 +1,39 @@
 /**
- * The newest configuration in hand and since when it is known to be the newest, free of I/O.
- * A source says "this version was the newest at that moment"; versions never go back, and what no
- * source has confirmed for too long is no longer acted on where that would be unsafe.
+ * The newest known configuration and when the source last confirmed it as the newest; does no I/O.
+ * The version never goes back.
  */
 
-/** What a source says. */
+/** A statement about the newest version, from the source or a peer. */
 export interface ConfigurationReport<T> {
   readonly version: number;
-  /** Undefined where the source only confirms the version. */
+  /** Undefined if the report only confirms the version. */
   readonly configuration: T | undefined;
-  /** Moment on the source's clock at which the version was surely the newest; minus infinity where that is unknown. */
+  /** Time on the source's clock at which the version was the newest; minus infinity if unknown. */
   readonly knownAtMs: number;
 }
 
-/** What became of a report. */
 export type ReportOutcome =
-  /** The version in hand was replaced. */
+  /** The known version was replaced. */
   | 'applied'
-  /** The version in hand was confirmed. */
+  /** The known version was confirmed. */
   | 'confirmed'
-  /** The source is behind what is in hand; nothing changed. */
+  /** The report is older than the known version and was ignored. */
   | 'stale'
-  /** The source knows a version that is not in hand. */
+  /** The report names a newer version but does not contain it. */
   | 'missing';
 
-/** Knowledge of one process. */
 export interface ConfigurationKnowledge<T> {
   record(report: ConfigurationReport<T>): ReportOutcome;
   get(): T | undefined;
   /** 0 before the first version. */
   getVersion(): number;
-  /** The last moment on the source's clock at which the version in hand was surely the newest; minus infinity before the first confirmation. */
+  /**
+   * Last time on the source's clock at which the known version was the newest; minus infinity
+   * before the first confirmation.
+   */
   getKnownAt(): number;
 }
 
-/** Builds knowledge of nothing. */
 export function createConfigurationKnowledge<T>(): ConfigurationKnowledge<T> {
   let version = 0;
   let configuration: T | undefined;
@@ -42,7 +41,7 @@
 
   return {
     record(report) {
-      // Guards against reads that are seconds behind: applying one would bring back a removed key.
+      // Guards against stale reads, which would bring back a removed key.
       if (report.version < version) return 'stale';
       if (report.version > version) {
         if (report.configuration === undefined) return 'missing';
--- a/src/knowledge/feed-watcher.test.ts
+++ b/src/knowledge/feed-watcher.test.ts
@@ -6,7 +6,7 @@
 import { startFeedWatcher } from './feed-watcher.js';
 
 const NEVER = new Promise<FeedAnswer>(() => {
-  // Settles never: the script is over.
+  // Never settles: no scripted response is left.
 });
 
 type Call = { readonly kind: 'list' } | { readonly kind: 'watch'; readonly waitMs: number };
@@ -15,7 +15,7 @@
   return { kind: 'rows', rows: [{ key, value: 'v' }], revision, sourceNowMs: 1, sentMs: 1 };
 }
 
-/** Runs a watcher on scripted answers; the last one never comes. */
+/** Runs a watcher on scripted responses until they are used up. */
 async function runWatcher(answers: readonly FeedAnswer[]) {
   const calls: Call[] = [];
   const events: string[] = [];
@@ -63,8 +63,7 @@
     );
   });
 
-  // The source forgets its history; the list that follows is read from a copy that lags behind, in
-  // which a removed row still stands. Applying it would bring the row back.
+  // Guards against restoring a removed row from a stale list that follows a compaction.
   it('lists anew when the history is gone, and passes over a list that lags', async (t) => {
     const { events } = await runWatcher([
       buildRows(5),
@@ -76,8 +75,7 @@
     t.deepEqual(events, ['listed 5', 'changed 9', 'listed 11']);
   });
 
-  // The source goes away: the connection is doubted, and the first call after it does not wait, so
-  // that its return is known at once.
+  // Guards against detecting the source's recovery late because the first call waits for a change.
   it('asks without waiting after a failure, on a new connection', async (t) => {
     const { calls, events, resets } = await runWatcher([
       buildRows(5),
@@ -90,17 +88,15 @@
     t.like(calls[3], { kind: 'watch', waitMs: 1500 });
   });
 
-  // An instance starts while the store's lists are seconds behind: a key that was taken away still
-  // stands in its list. The list must not be waited on for 1.5 s as if it were the newest.
+  // Guards against using a stale list, with a removed key in it, for a whole long-poll interval.
   it('asks without waiting after a list, which alone says nothing of its own age', async (t) => {
     const { calls } = await runWatcher([buildRows(5), buildRows(6), buildRows(7)]);
     t.like(calls[1], { kind: 'watch', waitMs: 0 });
     t.like(calls[2], { kind: 'watch', waitMs: 1500 });
   });
 
-  // The store forgets its history while its lists lag seconds behind: each list is older than the
-  // history that is left, and each watch from it is refused at once. Sixty instances that list and
-  // watch without a pause would take the store's whole rate for nothing.
+  // Guards against listing and watching at full rate while the lists are older than the compacted
+  // history, which would use up the store's call rate.
   it('pauses between lists that are too old to go on from', async (t) => {
     const startMs = performance.now();
     const { calls } = await runWatcher([
@@ -115,8 +111,8 @@
     t.true(performance.now() - startMs >= 290, 'three pauses of a tenth of a second');
   });
 
-  // An instance stops following the store, hears from peers meanwhile, and takes it up again. Its
-  // old place in the feed would bring back what peers have told it is gone.
+  // Guards against restoring rows that peers reported as removed, by resuming at the revision
+  // before the pause.
   it('makes no call while it pauses, and goes on from what is known by then', async (t) => {
     const calls: number[] = [];
     const timers = createTimerService(createSystemClock());
--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -1,81 +1,78 @@
 /**
- * Follows one feed: lists once, then watches for changes, and starts over whenever it cannot be sure
- * to have missed nothing. Failed calls are repeated on a new connection after a growing pause.
+ * Follows a feed: lists all rows, then watches for changes, and lists again when changes may have
+ * been missed. Failed calls are retried on a new connection with exponential backoff.
  */
 import type { TimerService } from '../runtime/timer-service.js';
 import type { Random } from '../utils/random.js';
 import type { FeedAnswer, FeedReader, FeedRow } from './feed.js';
 
-/** The first pause after a failed call, in milliseconds, and the longest: the source answers in 4 ms, and an outage lasts seconds. */
+/** Bounds of the backoff after a failed call. */
 const RETRY_MIN_MS = 100;
 const RETRY_MAX_MS = 800;
 
-/** What a watcher reports. */
 export interface FeedListener {
   /**
-   * Every row there is; what is missing does not exist. A list may be seconds behind: only the
-   * answer to the watch that follows it says that nothing newer exists.
+   * All rows; a row that is missing does not exist. A list may be seconds behind the source: only
+   * the response to the watch after it confirms that nothing newer exists.
    */
   onListed(rows: readonly FeedRow[], answer: AnswerTimes): void;
-  /** Rows that changed; none where a call only confirmed that nothing did. */
+  /** Changed rows; empty if the call only confirmed that nothing changed. */
   onChanged(rows: readonly FeedRow[], answer: AnswerTimes): void;
   onLost(reason: string): void;
 }
 
-/** When an answer was asked for and given. */
+/** Revision and times of a response. */
 export interface AnswerTimes {
   readonly revision: number;
   readonly sourceNowMs: number;
   readonly sentMs: number;
 }
 
-/** Settings of a watcher. */
 export interface FeedWatcherOptions {
   readonly reader: FeedReader;
   readonly listener: FeedListener;
   readonly timers: TimerService;
   readonly random: Random;
-  /** How long the next call waits for a change, in milliseconds. */
+  /** Long-poll timeout of the next watch, in milliseconds. */
   readonly getWaitMs: () => number;
   /**
-   * How many times longer than usual to pause after a failed call.
+   * Multiplier of the delay after a failed call.
    * @default 1
    */
   readonly getPauseFactor?: () => number;
   /**
-   * Whether it waits for `resume` before the first call.
+   * Whether to start paused, until `resume`.
    * @default false
    */
   readonly isPaused?: boolean;
 }
 
-/** A feed that is followed. */
 export interface FeedWatcher {
-  /** Doubts the connection: the call under way is given up and made anew. */
+  /** Abandons the current call and repeats it on a new connection. */
   restart(): void;
   /** Closes the connection until `resume`. */
   pause(): void;
-  /** Goes on after a pause, from the revision up to which everything is known by other ways. */
+  /** Continues after a pause from a revision up to which all changes are known from elsewhere. */
   resume(revision: number): void;
   stop(): void;
 }
 
-/** Starts following a feed. */
 export function startFeedWatcher(options: FeedWatcherOptions): FeedWatcher {
   const { reader, listener, timers, random } = options;
   let revision: number | undefined;
-  /** The highest revision ever seen: an answer below it is a read that lags behind. */
+  /** Highest revision seen; a response with a lower one is a stale read. */
   let highestRevision = 0;
   let failures = 0;
-  /** Watches in a row whose history was gone. */
+  /** Consecutive watches refused because their history was compacted. */
   let compactions = 0;
   let isStopped = false;
   let isPaused = options.isPaused ?? false;
-  /** Whether a watch was answered since the last list or doubt. */
+  /** Whether a watch has been answered since the last list, failure or restart. */
   let isConfirmed = false;
+  /** Incremented on restart and pause; responses of an earlier generation are dropped. */
   let generation = 0;
 
-  /** After so many calls in a row that brought nothing. */
+  /** Backoff with jitter after consecutive unsuccessful calls. */
   function computePauseMs(attempts: number): number {
     const pauseMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** Math.max(0, attempts - 1));
     return pauseMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
@@ -83,7 +80,7 @@
 
   function handleRows(answer: Extract<FeedAnswer, { kind: 'rows' }>): void {
     failures = 0;
-    // Guards against lists that are seconds behind: it shows as a row that comes back after removal.
+    // Guards against stale lists, which would bring back removed rows.
     if (answer.revision < highestRevision) return;
     highestRevision = answer.revision;
     const isList = revision === undefined;
@@ -103,9 +100,8 @@
         revision = undefined;
         isConfirmed = false;
         compactions += 1;
-        // Guards against a list that lags behind the forgotten history: list and refused watch would
-        // follow each other without a pause, up to 250 calls a second at 4 ms an answer (computed), until
-        // the list has caught up, which takes seconds.
+        // Guards against lists older than the compacted history: without a pause, list and refused
+        // watch would alternate at full rate until the lists catch up.
         return compactions === 1 ? 0 : computePauseMs(compactions - 1);
       default:
         failures += 1;
@@ -118,7 +114,7 @@
 
   async function fetchNext(): Promise<FeedAnswer> {
     if (revision === undefined) return reader.list();
-    // After a list or a doubt the first call does not wait: what it says must be known at once.
+    // The first watch after a list, failure or restart returns at once, to confirm the rows early.
     return reader.watch(revision, isConfirmed ? options.getWaitMs() : 0);
   }
 
@@ -160,7 +156,7 @@
       if (!isPaused) return;
       isPaused = false;
       highestRevision = Math.max(highestRevision, knownRevision);
-      // Whoever knows everything up to a revision need not list.
+      // No list is needed if all changes up to a revision are known.
       if (knownRevision > 0) revision = Math.max(revision ?? 0, knownRevision);
       startNewGeneration();
     },
--- a/src/knowledge/feed.ts
+++ b/src/knowledge/feed.ts
@@ -1,36 +1,39 @@
-/** What a versioned feed of rows gives: lists, changes and its refusals. */
+/** Interface to a versioned feed of table rows. */
 
-/** A row; `value` is undefined where the row was removed. */
+/** A row; `value` is undefined if the row was removed. */
 export interface FeedRow {
   readonly key: string;
   readonly value: string | undefined;
-  /** The source's revision at which the row last changed; undefined where the source does not say. */
+  /** Source revision of the row's last change; undefined if the source does not report it. */
   readonly revision?: number;
 }
 
-/** One answer of the feed's source. */
+/** A response to a list or watch call. */
 export type FeedAnswer =
   | {
       readonly kind: 'rows';
       readonly rows: readonly FeedRow[];
-      /** Everything up to this revision is in the rows seen so far. */
+      /** All changes up to this revision are included in the rows received so far. */
       readonly revision: number;
-      /** The source's steady clock when it answered. */
+      /** The source's monotonic clock when it answered. */
       readonly sourceNowMs: number;
       /** When the call was sent, on this process's monotonic clock. */
       readonly sentMs: number;
     }
-  /** The changes since the revision are no longer kept; list anew. */
+  /** Changes since the requested revision are no longer kept; list again. */
   | { readonly kind: 'compacted' }
-  /** No answer, or a refusal. */
+  /** No response, or an error. */
   | { readonly kind: 'unavailable'; readonly reason: string };
 
 /** Reads one table of the source. */
 export interface FeedReader {
-  /** Every row as of one moment. */
+  /** All rows at one revision. */
   list(): Promise<FeedAnswer>;
-  /** Changes after a revision, as soon as there is one or after `waitMs` milliseconds without. */
+  /**
+   * Changes after a revision; returns at the first change or after `waitMs` milliseconds without
+   * one.
+   */
   watch(revision: number, waitMs: number): Promise<FeedAnswer>;
-  /** Gives up calls under way and their connection. */
+  /** Aborts calls in progress and closes their connection. */
   reset(): void;
 }
--- a/src/knowledge/source-clock.ts
+++ b/src/knowledge/source-clock.ts
@@ -1,33 +1,32 @@
 /**
- * Maps moments on a source's steady clock to this process's monotonic clock, always erring towards
- * the past, so that knowledge is never taken for younger than it is. What is known is stamped with
- * the source's clock: such a stamp holds however long it travels and whoever passes it on, also in a
- * datagram that lay in the socket of a process that was suspended.
+ * Converts times on the source's monotonic clock to this process's. The error always makes data
+ * look older, never newer. Data is stamped with the source's clock, so its age stays known however
+ * long it is in transit, even in a datagram that was queued while the process was suspended.
  */
 
-/** An answer that says what the source's clock shows. */
+/** A reading of the source's clock. */
 export interface ClockSample {
-  /** The source's clock when it answered, or the latest that it can have shown when a peer did. */
+  /** The source's clock when it answered; from a peer, its latest possible value. */
   readonly sourceNowMs: number;
-  /** When the call was sent, on this process's clock. */
+  /** When the request was sent, on this process's clock. */
   readonly sentMs: number;
 }
 
-/** The relation between the two clocks. */
 export interface SourceClock {
-  /** Takes an answer into account. */
   record(sample: ClockSample): void;
-  /** How long ago a moment on the source's clock was at most, in milliseconds; infinite while the relation is unknown. */
+  /**
+   * Upper bound of the time since `sourceMs`, in milliseconds; infinite while the offset is
+   * unknown.
+   */
   computeAge(sourceMs: number, nowMs: number): number;
-  /** The latest that the source's clock can show; undefined while the relation is unknown. */
+  /** Latest possible value of the source's clock; undefined while the offset is unknown. */
   computeSourceNow(nowMs: number): number | undefined;
-  /** Forgets the relation: this process's clock stood still while the source's went on. */
+  /** Discards the offset after this process's clock stood still. */
   reset(): void;
 }
 
-/** Builds a relation that knows nothing. */
 export function createSourceClock(): SourceClock {
-  // Nobody can have answered before it was asked, so each call bounds the offset from below.
+  // A response cannot precede its request, so each sample is a lower bound of the offset.
   let offsetMs = -Infinity;
   return {
     record({ sourceNowMs, sentMs }) {
--- a/src/knowledge/suspension-detector.test.ts
+++ b/src/knowledge/suspension-detector.test.ts
@@ -1,7 +1,7 @@
 import { describe } from '../test/describe.js';
 import { createSuspensionDetector } from './suspension-detector.js';
 
-/** Two clocks that a test moves apart. */
+/** Two clocks whose difference the test controls. */
 function createClocks() {
   let monotonicMs = 0;
   let stepMs = 0;
@@ -20,8 +20,8 @@
 }
 
 describe('suspension detector', ({ it }) => {
-  // The time of day jumps by seconds and back. Each jump may cost one more confirmation and nothing
-  // further: believed to be a lasting suspension, keys would be refused until the clock is set right.
+  // Guards against refusing keys until a stepped wall clock is set right: each step may cost only
+  // one extra confirmation.
   it('takes a step of the time of day, either way, for one suspension', (t) => {
     for (const stepMs of [4000, -4000]) {
       const clocks = createClocks();
--- a/src/knowledge/table-mirror.test.ts
+++ b/src/knowledge/table-mirror.test.ts
@@ -8,7 +8,7 @@
   return rows.map(({ key, value }) => ({ key, value })).sort((a, b) => a.key.localeCompare(b.key));
 }
 
-/** What a follower does with what an instance that watches answers. */
+/** Updates a follower from a watcher, as instances do. */
 function applyChanges(follower: TableMirror, watcher: TableMirror): void {
   const revision = watcher.getContentRevision();
   if (revision <= follower.getContentRevision()) return;
@@ -40,8 +40,8 @@
     });
   });
 
-  // Several instances watch, and each hears of one change in an answer of its own, at its own revision.
-  // Compared by these, two hundred followers would ask anew for what they have, once for each watcher.
+  // Guards against followers fetching the same rows once per watcher because watchers receive one
+  // change in responses with different revisions.
   it('stands at the same revision as any other that knows the same', (t) => {
     const mirrors = [9, 12].map((answerRevision) => {
       const mirror = createTableMirror();
@@ -63,9 +63,8 @@
     t.deepEqual(mirror.listSince(5), { kind: 'all', rows: [] });
   });
 
-  // An engine registers, one watcher tells of it, and it is gone before the other watcher lists: that one
-  // never knew it. The first watcher dies. Who was told would send prompts to an engine that is gone
-  // until something else changes, unless the list is news to it.
+  // Guards against calls to an endpoint that was added and removed between two lists of one
+  // watcher, while another watcher announced it and died.
   it('lets a follower drop what came and went between two lists', (t) => {
     const [first, second, follower] = [1, 1, 1].map((revision) => {
       const mirror = createTableMirror();
@@ -90,14 +89,13 @@
     t.is(mirror.listSince(990).rows.length, 9);
   });
 
-  // A runner leaves. Instances that do not watch ask now this, now that instance which does, and
-  // those are told of changes at different moments and in different batches, some after a list of
-  // everything. A follower that missed one removal would go on calling a runner that is gone.
+  // Guards against a follower missing a removal when it asks different watchers, which receive
+  // changes at different times, in different batches and partly from lists.
   it('keeps a follower of several watchers complete, whatever each of them has seen', (t) => {
     const change = fc.record({
       key: fc.constantFrom('a', 'b', 'c', 'd'),
       isRemoved: fc.boolean(),
-      /** Which watchers hear of everything so far, and whether from a list. */
+      /** Which watchers receive all changes so far. */
       isUpdated: fc.tuple(fc.boolean(), fc.boolean()),
       isList: fc.boolean(),
       askedWatcher: fc.nat(1),
--- a/src/knowledge/table-mirror.ts
+++ b/src/knowledge/table-mirror.ts
@@ -1,46 +1,43 @@
 /**
- * The rows of one table as this instance holds them, with the revision at which each last changed, so
- * that peers which follow this instance are told no more than what they lack.
+ * Local copy of a table with the revision of each row's last change, so that peers are sent only
+ * the rows that they lack.
  */
 import type { FeedRow } from './feed.js';
 
-/** Removed rows that are remembered: a follower that lacks an older removal gets every row. */
+/** Limit of the tombstones kept; a follower that lacks an older removal is sent all rows. */
 const TOMBSTONES_MAX = 512;
 
-/** A row as it is held and passed on. */
 export interface MirroredRow extends FeedRow {
   readonly revision: number;
 }
 
-/** What somebody who knows everything up to a revision lacks. */
+/** What changed after a revision. */
 export type MirrorChanges =
-  /** Every row there is; what is missing does not exist. */
+  /** All rows; a row that is missing does not exist. */
   | { readonly kind: 'all'; readonly rows: readonly MirroredRow[] }
-  /** Rows that changed or were removed since. */
+  /** Rows changed or removed since. */
   | { readonly kind: 'changed'; readonly rows: readonly MirroredRow[] };
 
-/** Rows in hand. */
 export interface TableMirror {
-  /** Takes every row there is as of a revision of the source. */
+  /** Replaces all rows by a list at a revision. */
   setAll(rows: readonly FeedRow[], revision: number): void;
-  /** Takes what changed up to a revision of the source. */
+  /** Applies all changes up to a revision. */
   apply(rows: readonly FeedRow[], revision: number): void;
-  /** Takes what another instance, whose rows last changed at a revision, says that this one lacks. */
+  /** Applies changes from a peer whose rows last changed at a revision. */
   applyTold(changes: MirrorChanges, contentRevision: number): void;
-  /** Everything up to this revision is in the rows; 0 before the first list. */
+  /** All changes up to this revision are included; 0 before the first list. */
   getRevision(): number;
-  /** The revision at which the rows last changed: whoever knows everything up to it lacks nothing. */
+  /** Revision of the last change to any row. */
   getContentRevision(): number;
   list(): readonly MirroredRow[];
   listSince(revision: number): MirrorChanges;
 }
 
-/** Builds an empty mirror. */
 export function createTableMirror(): TableMirror {
   const rows = new Map<string, MirroredRow>();
-  /** Removed rows, the one removed last at the end. */
+  /** Tombstones in order of removal. */
   const tombstones = new Map<string, MirroredRow>();
-  /** Removals up to this revision are forgotten. */
+  /** Changes since an earlier revision are incomplete; its followers get all rows. */
   let compactedRevision = 0;
   let currentRevision = 0;
   let contentRevision = 0;
@@ -56,7 +53,7 @@
     compactedRevision = oldest.revision;
   }
 
-  /** The row's own revision is the same at every instance; that of an answer is where the answer ends. */
+  /** A row's own revision is the same on every instance; that of a response is not. */
   function applyRow(row: FeedRow, responseRevision: number): void {
     const { key, revision = responseRevision } = row;
     contentRevision = Math.max(contentRevision, revision);
@@ -76,11 +73,12 @@
 
   function setAll(listed: readonly FeedRow[], revision: number): void {
     currentRevision = Math.max(currentRevision, revision);
-    // What came and went since the list before is not known: whoever has less gets every row.
+    // Rows added and removed since the previous list are unknown: followers behind this one get all
+    // rows.
     compactedRevision = currentRevision;
-    // Guards against a row that came and went between two lists of this instance, while another heard of
-    // its coming and has since died: it shows as an endpoint that is gone and still gets calls of those
-    // whom that one told. A list is news to all, so that they ask once more.
+    // Guards against calls to an endpoint that was added and removed between two lists of this
+    // instance, while another watcher announced it and died. The new revision makes followers fetch
+    // the list.
     contentRevision = Math.max(contentRevision, revision);
     const keys = new Set(listed.map(({ key }) => key));
     const missingKeys = [...rows.keys()].filter((key) => !keys.has(key));
--- a/src/knowledge/watch-duty.test.ts
+++ b/src/knowledge/watch-duty.test.ts
@@ -2,7 +2,7 @@
 import { LEADING_WATCHERS, WATCHERS_MIN, createWatchDuty } from './watch-duty.js';
 import type { WatchCandidate, WatchDuty } from './watch-duty.js';
 
-/** A fleet spread over data centres in turn. */
+/** A fleet whose instances are assigned to data centres in turn. */
 function buildFleet(instances: number, dataCentres: number): WatchCandidate[] {
   return Array.from({ length: instances }, (_, index) => ({
     name: `front-${index}`,
@@ -13,7 +13,7 @@
 const FLEET = buildFleet(195, 5);
 const UPTIME_MS = 10_000;
 
-/** The duty of an instance that has been alive for ten seconds, by the age of its knowledge. */
+/** The role of an instance that has run for ten seconds, by the age of its data. */
 function computeRole(
   self: string,
   alive: readonly WatchCandidate[],
@@ -49,15 +49,14 @@
     t.is(computeRole('a', []).kind, 'watch');
   });
 
-  // The store turns away exactly the machines that watch. The others hear nothing recent any more
-  // and must not wait for them: requests with keys would be refused everywhere within seconds. Nor
-  // must a fleet of hundreds fall upon the store in one moment.
+  // Guards against refused requests when the store turns away just the watchers, and against a
+  // whole fleet calling the store at once.
   it('is taken up by ever more as knowledge grows old, by all before keys may not be used', (t) => {
     const counts = [2200, 2450, 2850, 3250, 4450].map((ageMs) => listWatching(FLEET, ageMs).length);
     t.deepEqual(counts, [5, 10, 20, 40, 195]);
   });
 
-  // The store is down for everybody, and all of a fleet watch. Each call is turned away and paid for.
+  // Guards against a request storm while the store is down and the whole fleet watches.
   it('pauses longer between calls that fail the more instances come before', (t) => {
     const perSecond = FLEET.reduce((sum, { name }) => {
       const role = computeRole(name, FLEET, 60_000);
@@ -66,8 +65,8 @@
     t.true(perSecond < 30, `${perSecond} times the rate of one watcher`);
   });
 
-  // The time of day jumps on a third of the machines. None of them knows how old its knowledge is until
-  // somebody has told it the time, which others can: sixty that call the store instead cost it hundreds of calls.
+  // Guards against many instances calling the store when their clocks jump, although peers can tell
+  // them the time.
   it('is not taken up by those whose clocks jump, while others can tell them', (t) => {
     const self = FLEET.find(({ name }) => computeRole(name, FLEET).kind === 'follow')?.name ?? '';
     const selector = createWatchDuty(0);
@@ -90,8 +89,8 @@
     t.is(advance(500, 12_500), 'follow');
   });
 
-  // Two hundred instances start in one moment. Each knows nobody at first and would be the first of
-  // the fleet in its own eyes: all would list and watch, and be billed for it.
+  // Guards against every instance watching when a whole fleet starts and nobody knows the others
+  // yet.
   it('is not taken up by an instance that starts and can ask others', (t) => {
     const selector = createWatchDuty(0);
     const alone = buildFleet(1, 1);
--- a/src/membership/facts.ts
+++ b/src/membership/facts.ts
@@ -1,9 +1,9 @@
-/** Versioned statements about members and endpoints, and which of two is the later. */
+/** Versioned facts about members and endpoints, and their precedence. */
 import type { Fact } from '../gen/peer_pb.js';
 import { FactKind, FactState } from '../gen/peer_pb.js';
 import { hashName } from '../utils/hash.js';
 
-/** Of two facts of the same incarnation the one with the higher rank holds. */
+/** Of two facts of the same incarnation, the one with the higher precedence wins. */
 const STATE_PRECEDENCE: Readonly<Record<FactState, number>> = {
   [FactState.UNSPECIFIED]: -1,
   [FactState.ALIVE]: 0,
@@ -13,15 +13,14 @@
   [FactState.LEFT]: 4,
 };
 
-/** What a fact says, without the wire's type name. */
+/** Fields of a fact without the wire type name. */
 export type FactFields = Omit<Fact, '$typeName' | '$unknown'>;
 
-/** Builds a fact. */
 export function createFact(fields: FactFields): Fact {
   return { $typeName: 'hyssoptally.peer.v1.Fact', ...fields };
 }
 
-/** Whether `next` replaces `known`. */
+/** Whether `next` supersedes `known`. */
 export function isNewer(next: Fact, known: Fact): boolean {
   if (next.incarnation !== known.incarnation) return next.incarnation > known.incarnation;
   if (STATE_PRECEDENCE[next.state] !== STATE_PRECEDENCE[known.state])
@@ -29,7 +28,7 @@
   return next.revision > known.revision;
 }
 
-/** Whether a member takes part: it answers, or is given time to. */
+/** Whether a member takes part: alive, suspect or leaving. */
 export function isPresent(fact: Fact): boolean {
   switch (fact.state) {
     case FactState.ALIVE:
@@ -46,7 +45,7 @@
   return fact.state === FactState.ALIVE || fact.state === FactState.SUSPECT;
 }
 
-/** A digest of who is in which state, equal on instances that agree. */
+/** Digest of the states of all subjects, equal on instances that agree. */
 export function hashFacts(facts: Iterable<Fact>): number {
   let digest = 0;
   for (const fact of facts) {
--- a/src/membership/membership-messages.ts
+++ b/src/membership/membership-messages.ts
@@ -1,21 +1,20 @@
-/** What membership is told and asks for. */
+/** Input messages and output commands of the membership state machine. */
 import type { DemandShare, Fact, PeerMessage } from '../gen/peer_pb.js';
 import type { PeerBody } from '../types/peer-messages.js';
 
-/** The gossip messages among the messages of peers. */
+/** The peer messages that carry gossip. */
 export type GossipBody = Extract<PeerBody, { case: 'ping' | 'pingRequest' | 'ack' | 'syncFacts' }>;
 
-/** Somebody to talk to who may not be a member yet. */
+/** An address to probe that may not belong to a member yet. */
 export interface Contact {
   readonly name: string;
   readonly address: string;
   readonly dataCentre: string;
 }
 
-/** What membership is told. */
 export type MembershipMessage =
   | { readonly kind: 'received'; readonly from: string; readonly body: GossipBody }
-  /** The platform's list, or the settings' seeds: to be asked, not to be believed. */
+  /** Entries of the platform's list or configured seeds: probed, but not trusted to be members. */
   | { readonly kind: 'contacts'; readonly contacts: readonly Contact[] }
   | { readonly kind: 'configuration'; readonly version: number }
   | { readonly kind: 'demand'; readonly shares: readonly DemandShare[] }
@@ -25,13 +24,12 @@
       readonly isLeaving: boolean;
       readonly wallMs: number;
     }
-  /** A message to this address could not be handed over. */
+  /** A message to this address could not be sent. */
   | { readonly kind: 'unreachable'; readonly address: string }
   | { readonly kind: 'leave' }
   | { readonly kind: 'left' }
   | { readonly kind: 'tick' };
 
-/** What membership asks for. */
 export type MembershipCommand =
   | {
       readonly kind: 'send';
--- a/src/membership/membership.test.ts
+++ b/src/membership/membership.test.ts
@@ -22,7 +22,7 @@
   readonly body: PeerMessage['body'];
 }
 
-/** Members that exchange messages over links which a test may close. */
+/** Members that exchange messages over links that a test can close. */
 function createFleet(names: readonly string[]) {
   const members = new Map<string, Membership>();
   const closedLinks = new Set<string>();
@@ -105,8 +105,8 @@
     for (const member of fleet.members.values()) t.is(member.listMembers().length, NAMES.length);
   });
 
-  // Two hundred instances start in one moment and know three addresses. Who does not know the fleet
-  // within a second or two takes itself for one of few, and falls upon the platform's store.
+  // Guards against a large fleet calling the platform's store at once because each new instance
+  // believes for too long that the fleet is small.
   it('finds everybody from the addresses of a few, in little more than a second', (t) => {
     const names = Array.from({ length: 60 }, (_, index) => `entry-${index + 1}`);
     const fleet = createFleet(names);
@@ -119,14 +119,13 @@
   });
 
   it('keeps a member that only one other cannot reach', (t) => {
-    // Requests crowd onto too few entries. One entry's network is bad in one direction; it alone
-    // cannot reach another, says so, and everybody drops a member that works.
+    // Guards against dropping a healthy member because of one bad link.
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     fleet.closedLinks.add('entry-1>entry-2').add('entry-2>entry-1');
     for (let look = 0; look < 120; look += 1) {
       fleet.runFor(250);
-      // Not even suspect: a suspect loses its shards.
+      // A suspect would lose its shards.
       t.is(fleet.getState('entry-3', 'entry-2'), FactState.ALIVE);
     }
   });
@@ -145,9 +144,8 @@
     for (const name of NAMES) t.is(fleet.getState(name, 'entry-4'), FactState.ALIVE);
   });
 
-  // The time of day jumps back by seconds on a machine, and its instance is killed and started again:
-  // its incarnation is below the one that the others hold for dead. It must be taken back all the same,
-  // or calls and loads would never reach it.
+  // Guards against ignoring a restarted member whose wall clock stepped back, so that its
+  // incarnation is below the one declared dead.
   it('takes back a member whose clock stepped back before it started again', (t) => {
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
@@ -160,8 +158,7 @@
   });
 
   it('heals after a cut between two halves', (t) => {
-    // After a cut both halves serve on and never meet again: each holds the other for dead and has
-    // stopped talking to it.
+    // Guards against a fleet that stays split because each half holds the other for dead.
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     for (const [index, a] of NAMES.entries()) {
@@ -179,7 +176,8 @@
   });
 
   it('tells everybody within three seconds that an endpoint leaves', (t) => {
-    // A leaving engine still gets new work from entries that only read the platform's lagging list.
+    // Guards against new work for a leaving endpoint from instances that read only the platform's
+    // lagging list.
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     fleet.handle('entry-1', { kind: 'endpoint', endpoint: 'engine-1', isLeaving: true, wallMs: 1 });
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,8 +1,9 @@
 /**
- * Membership by gossip (SWIM with suspicion), free of I/O. Each period a fixed number of members is
- * probed; who does not answer is probed through others, then suspected, then declared dead, unless
- * it refutes with a higher incarnation. Facts ride on probes, so the bytes a node sends do not grow
- * with the fleet. Endpoints that are leaving travel as facts too and outrun the platform's list.
+ * Gossip membership (SWIM with suspicion); does no I/O. Each round probes a fixed number of
+ * members. A member that does not answer is probed through others, then suspected, then declared
+ * dead unless it refutes with a higher incarnation. Facts are piggybacked on probes, so a member's
+ * traffic does not grow with the fleet. Endpoints that are leaving are gossiped too, since the
+ * platform's list lags.
  */
 import type { Fact } from '../gen/peer_pb.js';
 import type { Invariants } from '../runtime/invariants.js';
@@ -16,34 +17,30 @@
 } from './membership-messages.js';
 import { FactKind, FactState, createFact, hashFacts, isNewer, isPresent } from './facts.js';
 
-/** A round of probes, in milliseconds. */
 export const PROBE_PERIOD_MS = 400;
-/** Members probed in one round: fixed, whatever the fleet's size. */
+/** Members probed per round, whatever the fleet's size. */
 export const PROBE_FANOUT = 3;
-/** Members asked to probe for us. */
+/** Members that relay an indirect probe. */
 const INDIRECT_FANOUT = 2;
-/** A probe without an answer after this long is tried through others, in milliseconds. */
+/** Time after which an unanswered probe is repeated through relays. */
 const DIRECT_PROBE_TIMEOUT_MS = 200;
-/** A probe without any answer after this long raises suspicion. */
+/** Time after which an unanswered probe makes its target suspect. */
 const PROBE_TIMEOUT_MS = 700;
-/** A suspect has this long to refute, in milliseconds. */
+/** Time in which a suspect can refute before it is declared dead. */
 export const SUSPICION_TIMEOUT_MS = 2000;
-/** Dead members are remembered, and now and then probed, this long: the way back after a cut. */
+/** Time for which dead members are kept and probed, so that a partitioned fleet can merge. */
 const TOMBSTONE_RETENTION_MS = 600_000;
-/** Facts on one message. */
 const FACTS_PER_MESSAGE_MAX = 12;
-/** Each fact rides on this many times log2 of the fleet's size messages. */
+/** Each fact is sent this many times log2 of the fleet's size. */
 const RETRANSMIT_FACTOR = 4;
-/** Least time between two full exchanges started here, in milliseconds. */
+/** Minimum interval between full exchanges started by this member. */
 const SYNC_PERIOD_MS = 2000;
-/** Members told at once of this member's leaving. */
+/** Members notified directly when this member leaves. */
 const LEAVE_FANOUT = 12;
-/** A round of probes while nobody else is known, in milliseconds: of instances that start together the seeds may be the last. */
+/** Interval of rounds while no other member is known. */
 const BOOTSTRAP_PERIOD_MS = 300;
-/** Rounds between two probes of a member held for dead. */
 const DEAD_PROBE_INTERVAL_ROUNDS = 5;
 
-/** Settings of a member. */
 export interface MembershipOptions {
   readonly self: Contact;
   /** Higher than any earlier start under the same name: the wall clock at start. */
@@ -51,7 +48,7 @@
   readonly random: Random;
   readonly invariants: Invariants;
   /**
-   * A round of probes, in milliseconds. Longer where nothing waits on the verdict.
+   * Interval of probe rounds, in milliseconds.
    * @default PROBE_PERIOD_MS
    */
   readonly probePeriodMs?: number;
@@ -61,7 +58,7 @@
   readonly sequence: number;
   readonly target: string;
   readonly sentMs: number;
-  /** Who asked for this probe, and under which sequence; undefined for our own. */
+  /** The member that requested this probe and its sequence number; undefined for own probes. */
   readonly requester: { readonly name: string; readonly sequence: number } | undefined;
   isIndirect: boolean;
 }
@@ -71,16 +68,14 @@
   sent: number;
 }
 
-/** Membership of one instance. */
 export interface Membership {
   handle(message: MembershipMessage, nowMs: number): MembershipCommand[];
-  /** All members known, this one included. */
+  /** All known members, including this one. */
   listMembers(): Fact[];
   listEndpoints(): Fact[];
   findMember(name: string): Fact | undefined;
 }
 
-/** Builds the membership of an instance that knows only itself. */
 export function createMembership(options: MembershipOptions): Membership {
   const { self, random, invariants, probePeriodMs = PROBE_PERIOD_MS } = options;
   const facts = new Map<string, Fact>();
@@ -148,7 +143,7 @@
     commands.push({ kind: 'changed', fact, before });
   }
 
-  /** Says something new of this member; `isNewIncarnation` overrules what others say of it. */
+  /** Updates this member's own fact; a new incarnation overrides facts from others. */
   function updateSelf(change: Partial<Fact>, isNewIncarnation: boolean, nowMs: number): void {
     const known = getSelf();
     storeFact(
@@ -162,7 +157,7 @@
     );
   }
 
-  /** Others hold this member for suspect or dead: it says, with a higher incarnation, that it lives. */
+  /** Refutes, with a higher incarnation, that this member is suspect or dead. */
   function applyRefutation(fact: Fact, nowMs: number): void {
     const known = getSelf();
     const isRefutationNeeded = fact.incarnation > known.incarnation || isNewer(fact, known);
@@ -196,7 +191,7 @@
     return RETRANSMIT_FACTOR * Math.ceil(Math.log2(listMembers().length + 2));
   }
 
-  /** The least-told rumours, and always this member's own fact: a probe must identify its sender. */
+  /** The least-sent rumours, after this member's own fact, which identifies the sender. */
   function takeRumours(): Fact[] {
     const limit = computeRetransmits();
     const selected = [...rumours.values()]
@@ -222,7 +217,7 @@
   function postPing(target: string, asker: Probe['requester'], nowMs: number): void {
     sequence += 1;
     probes.set(sequence, { sequence, target, sentMs: nowMs, requester: asker, isIndirect: false });
-    // What is said of the target goes to the target itself, or it could never refute it.
+    // The target is sent the fact about itself, or it could not refute a suspicion.
     const targetFact = findMember(target);
     const isRefutable = targetFact !== undefined && targetFact.state !== FactState.ALIVE;
     postBody(target, {
@@ -257,7 +252,7 @@
     return chosen;
   }
 
-  /** Next members in a shuffled order, so that every one is probed within a bounded time. */
+  /** Takes the next members of a shuffled order, so that each is probed within a bounded time. */
   function takeProbeTargets(): string[] {
     const present = new Set(listOthers().map((fact) => fact.subject));
     probeOrder = probeOrder.filter((name) => present.has(name));
@@ -276,7 +271,7 @@
     return [...contacts.values()].filter((contact) => findMember(contact.name) === undefined);
   }
 
-  /** Whoever starts knows nobody, and should be known by all within a second or two. */
+  /** Probes contacts while no member is known. */
   function sendBootstrapProbes(nowMs: number): void {
     const unknown = listUnknownContacts().filter(({ name }) => name !== self.name);
     while (unknown.length > PROBE_FANOUT) unknown.splice(random.nextIndex(unknown.length), 1);
@@ -327,7 +322,7 @@
         probe.requester === undefined
       ) {
         probe.isIndirect = true;
-        // Guards against one bad link: it shows as one member suspecting what all others reach.
+        // Guards against one bad link: a member would suspect another that all others reach.
         for (const relay of chooseOthers(INDIRECT_FANOUT, [probe.target])) {
           postBody(relay.subject, {
             case: 'pingRequest',
--- a/src/membership/reachability.test.ts
+++ b/src/membership/reachability.test.ts
@@ -4,8 +4,7 @@
 const DATA_CENTRES = ['own', 'far'];
 
 describe('reachability of data centres', ({ it }) => {
-  // A data centre is cut off; its endpoints are still registered, and each call sent there waits
-  // until its caller gives up. Its instances fall silent while the neighbours still tell their loads.
+  // Guards against calls to a data centre that is cut off while its endpoints are still registered.
   it('notices a data centre whose instances all fell silent', (t) => {
     const reachability = createReachability('own');
     for (const name of DATA_CENTRES) reachability.recordHeard(name, 0);
@@ -15,7 +14,7 @@
     t.false(reachability.isCut('far', SILENCE_TIMEOUT_MS + 2));
   });
 
-  // This instance alone is cut off from its peers; endpoints everywhere still answer it.
+  // Guards against avoiding other data centres when only this instance is cut off from its peers.
   it('takes its own silence for no cut of the others', (t) => {
     const reach = createReachability('own');
     for (const name of DATA_CENTRES) reach.recordHeard(name, 0);
--- a/src/membership/reachability.ts
+++ b/src/membership/reachability.ts
@@ -1,22 +1,20 @@
 /**
- * Tells a data centre that is out of reach from one whose instances merely have nothing to say, by
- * the heartbeats that instances send each other anyway, free of I/O. It is cut off where none of its
- * instances is heard while others of the own data centre are: where nobody at all is heard it is
- * this instance that is cut off from its peers, which says nothing of the endpoints.
+ * Detects unreachable data centres from the heartbeats of their instances; does no I/O. A data
+ * centre is unreachable if none of its instances is heard while others of the own data centre are.
+ * If nobody is heard, this instance itself is cut off from its peers, which says nothing about
+ * endpoints.
  */
 
-/** Silence after which an instance counts as not heard, in milliseconds: three heartbeats lost. */
+/** Three lost heartbeats. */
 export const SILENCE_TIMEOUT_MS = 1000;
 
-/** When each data centre was heard. */
 export interface Reachability {
-  /** An instance of the data centre was heard, by this instance or by one that it hears itself. */
+  /** An instance of the data centre was heard, directly or through a peer. */
   recordHeard(dataCentre: string, nowMs: number): void;
-  /** Whether none of its instances is heard, while others of the own data centre are. */
+  /** Whether none of its instances is heard while others of the own data centre are. */
   isCut(dataCentre: string, nowMs: number): boolean;
 }
 
-/** Builds a record of nobody heard. */
 export function createReachability(ownDataCentre: string): Reachability {
   const lastHeardMs = new Map<string, number>();
 
@@ -29,7 +27,7 @@
       lastHeardMs.set(dataCentre, nowMs);
     },
     isCut(dataCentre, nowMs) {
-      // What was never heard has not started, or tells nothing: no evidence either way.
+      // A data centre that was never heard may not have started yet: no evidence either way.
       if (dataCentre === ownDataCentre || !lastHeardMs.has(dataCentre)) return false;
       return !isHeard(dataCentre, nowMs) && isHeard(ownDataCentre, nowMs);
     },
