--- a/src/claims/claim.test.ts
+++ b/src/claims/claim.test.ts
@@ -133,7 +133,7 @@
 const faultArbitrary = fc.constantFrom<WriteFault>('fine', 'answer_lost', 'late', 'never');
 
 describe('claim', ({ describe: describeInner, it }) => {
-  it('lets one attempt run at most, whatever the table and the entries do', (t) => {
+  it('lets at most one attempt run under any order of faults', (t) => {
     // Guards against running a request twice when several instances use the same key, responses are
     // lost, inserts are applied late and attempts are abandoned at any step.
     const property = fc.property(
@@ -170,7 +170,7 @@
     t.notThrows(() => fc.assert(property, { seed: 11, numRuns: 5000 }));
   });
 
-  it('does not go on when its insert might land after the read-back said absent', (t) => {
+  it('does not proceed while its insert may still be applied', (t) => {
     // Guards against running a request twice: the insert's response is lost, the read finds
     // nothing, and the insert is applied only after the request was sent.
     const item = createFakeItem();
@@ -185,7 +185,7 @@
     t.is(second.command.kind, 'proceed');
   });
 
-  describeInner('a key found in use', ({ it: itInner }) => {
+  describeInner('with an existing claim', ({ it: itInner }) => {
     function handleExistingClaim(document: Partial<ClaimDocument>, wallMs = 1): ClaimCommand {
       const claim = createClaim({ attemptId: 'mine', entry: 'entry', bodyHash: BODY });
       claim.handle({ kind: 'start', monotonicMs: 0, wallMs });
@@ -201,12 +201,12 @@
       return claim.handle({ kind: 'read', claim: { version: 1, document: full }, wallMs });
     }
 
-    itInner('with another body is refused', (t) => {
+    itInner('refuses a different body', (t) => {
       const command = handleExistingClaim({ bodyHash: 'another' });
       t.is(command.kind === 'refuse' && command.failure.type, 'idempotency_key_reused');
     });
 
-    itInner('that is done is replayed', (t) => {
+    itInner('replays a completed request', (t) => {
       const answer = { status: 200, contentType: 'text/plain', body: 'done' };
       t.deepEqual(handleExistingClaim({ state: CLAIM_STATE.Done, answer }), {
         kind: 'replay',
@@ -214,7 +214,7 @@
       });
     });
 
-    itInner('of an entry that cannot be asked may have run', (t) => {
+    itInner('reports that the request may have run if the holder does not respond', (t) => {
       // Guards against running a request twice because an instance that died after sending does not
       // respond and its silence is taken as proof that nothing was sent.
       const claim = createClaim({ attemptId: 'mine', entry: 'entry', bodyHash: BODY });
@@ -232,12 +232,12 @@
       t.is(command.kind === 'refuse' && command.failure.outcome, OUTCOME.MayHaveRun);
     });
 
-    itInner('is taken over once it is older than the retention', (t) => {
+    itInner('takes over a claim older than the retention', (t) => {
       t.is(handleExistingClaim({}, CLAIM_RETENTION_MS + 2).kind, 'take_over');
     });
   });
 
-  it('grows old by either clock', (t) => {
+  it('expires by either clock', (t) => {
     // Guards against sending an attempt whose claim another instance may have taken over, after the
     // monotonic clock stood still or the wall clock was set back.
     const claim = createClaim({ attemptId: 'a', entry: 'entry', bodyHash: BODY });
--- a/src/directory/endpoint-directory.test.ts
+++ b/src/directory/endpoint-directory.test.ts
@@ -21,7 +21,7 @@
 
 describe('endpoint directory', ({ describe: block }) => {
   block('while the registry answers', ({ it }) => {
-    it('closes an endpoint that is leaving and one whose entry is gone', (t) => {
+    it('excludes leaving and removed endpoints', (t) => {
       const directory = createEndpointDirectory();
       directory.handle(
         { kind: 'listed', endpoints: ['a', 'b', 'c'].map((id) => buildEndpoint(id)) },
@@ -36,10 +36,10 @@
     });
   });
 
-  block('around an outage of the registry', ({ it }) => {
+  block('during and after a registry outage', ({ it }) => {
     // Guards against refusing every call after a registry outage that lost all entries, before the
     // endpoints have had time to renew them.
-    it('keeps lapsed endpoints until they had time to renew', (t) => {
+    it('keeps lapsed endpoints until the renewal window ends', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a'), buildEndpoint('b')] }, 0);
       directory.handle({ kind: 'source_lost' }, 100);
@@ -55,7 +55,7 @@
 
     // Guards against calls to a removed endpoint while the registry refuses only this instance: an
     // endpoint that peers report as removed has not lapsed.
-    it('drops at once what is gone by the word of an instance that the registry answers', (t) => {
+    it('removes at once an endpoint that a peer with registry access reports as removed', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a'), buildEndpoint('b')] }, 0);
       directory.handle({ kind: 'source_lost' }, 100);
@@ -92,10 +92,10 @@
     });
   });
 
-  block('where an endpoint starts again under its id', ({ it }) => {
+  block('when an endpoint restarts under its id', ({ it }) => {
     // Guards against carrying over the load, cache and connection state of an endpoint that crashed
     // and registered again under its id before its entry lapsed.
-    it('says that the earlier start has ended, once', (t) => {
+    it('reports the end of the earlier start once', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a', false, 500)] }, 0);
       // The endpoint's clock stepped back between its starts.
@@ -107,7 +107,7 @@
       t.is(directory.find('a')?.startId, buildStartId('a', 400));
     });
 
-    it('ends a leaving that the earlier start announced', (t) => {
+    it('clears the leaving state of the earlier start', (t) => {
       const directory = createEndpointDirectory();
       directory.handle({ kind: 'listed', endpoints: [buildEndpoint('a', true, 1)] }, 0);
       directory.handle({ kind: 'registered', endpoint: buildEndpoint('a', false, 2) }, 1);
@@ -115,7 +115,7 @@
     });
   });
 
-  block('over any order of entries', ({ it }) => {
+  block('for any order of events', ({ it }) => {
     type Step =
       | { readonly kind: 'entry'; readonly id: string; readonly startedMs: number }
       | { readonly kind: 'gone' | 'unreadable'; readonly id: string }
@@ -150,7 +150,7 @@
       }
     }
 
-    it('uses what the newest readable entries name, and ends each start it replaces', (t) => {
+    it('uses the newest readable entries and reports the end of each replaced start', (t) => {
       fc.assert(
         fc.property(steps, (sequence) => {
           const directory = createEndpointDirectory();
--- a/src/knowledge/behind-detector.test.ts
+++ b/src/knowledge/behind-detector.test.ts
@@ -1,8 +1,8 @@
 import { describe } from '../test/describe.js';
 import { createBehindDetector } from './behind-detector.js';
 
-describe('behind detector', ({ it }) => {
-  it('doubts a feed that others have been ahead of for a while, once', (t) => {
+describe('feed lag detector', ({ it }) => {
+  it('reports a feed once after it has lagged behind peers for the limit', (t) => {
     const detector = createBehindDetector();
     t.false(detector.checkBehind(5, 4, 0));
     t.false(detector.checkBehind(6, 4, 699));
@@ -10,7 +10,7 @@
     t.false(detector.checkBehind(6, 4, 701));
   });
 
-  it('does not doubt a feed that catches up, or that is not in use', (t) => {
+  it('does not report a feed that catches up or is not in use', (t) => {
     const detector = createBehindDetector();
     t.false(detector.checkBehind(5, 4, 0));
     t.false(detector.checkBehind(5, 5, 500));
--- a/src/knowledge/configuration-knowledge.test.ts
+++ b/src/knowledge/configuration-knowledge.test.ts
@@ -5,9 +5,9 @@
 import type { SourceClock } from './source-clock.js';
 import { createSuspensionDetector } from './suspension-detector.js';
 
-describe('knowledge of the configuration', ({ it }) => {
+describe('configuration knowledge', ({ it }) => {
   // Guards against accepting a removed key again after a stale read of an older version.
-  it('never goes back to an older version', (t) => {
+  it('ignores an older version', (t) => {
     const knowledge = createConfigurationKnowledge<string>();
     t.is(knowledge.record({ version: 9, configuration: 'nine', knownAtMs: 100 }), 'applied');
     t.is(knowledge.record({ version: 7, configuration: 'seven', knownAtMs: 500 }), 'stale');
@@ -15,7 +15,7 @@
     t.is(knowledge.getKnownAt(), 100);
   });
 
-  it('is known since the last confirmation, and asks for what it only heard of', (t) => {
+  it('keeps the latest confirmation and reports a newer version without content as missing', (t) => {
     const knowledge = createConfigurationKnowledge<string>();
     knowledge.record({ version: 9, configuration: 'nine', knownAtMs: 100 });
     t.is(knowledge.record({ version: 9, configuration: undefined, knownAtMs: 400 }), 'confirmed');
@@ -29,7 +29,7 @@
 describe('source clock', ({ it }) => {
   // Guards against accepting a removed key for too long because a slow response is dated by its
   // arrival.
-  it('never takes an answer for younger than it is', (t) => {
+  it('never underestimates the age of a response', (t) => {
     const clock = createSourceClock();
     clock.record({ sourceNowMs: 1000, sentMs: 50 });
     t.is(clock.computeAge(1000, 50), 0);
@@ -40,7 +40,7 @@
 
   // Guards against trusting old data after a suspension, in which the process's clock stood still
   // while the source's advanced.
-  it('knows no age after a reset, and the true one after the next answer', (t) => {
+  it('reports no age after a reset until the next sample', (t) => {
     const clock = createSourceClock();
     clock.record({ sourceNowMs: 1000, sentMs: 50 });
     clock.reset();
@@ -52,7 +52,7 @@
 
   // Guards against underestimating the age of data when instances learn the source's clock from
   // each other over several slow hops.
-  it('errs towards the past through any number of peers', (t) => {
+  it('never underestimates an age through any number of peers', (t) => {
     const delay = fc.integer({ min: 0, max: 3000 });
     const hop = fc.record({
       offsetMs: fc.integer({ min: -10_000, max: 10_000 }),
@@ -82,7 +82,7 @@
 
 describe('suspension detector', ({ it }) => {
   // During a suspension the monotonic clock stands still and the wall clock advances.
-  it('notices that the monotonic clock stood still', (t) => {
+  it('detects that the monotonic clock stood still', (t) => {
     let wallMs = 10_000;
     let monotonicMs = 0;
     const detector = createSuspensionDetector({
--- a/src/knowledge/feed-watcher.test.ts
+++ b/src/knowledge/feed-watcher.test.ts
@@ -64,7 +64,7 @@
   });
 
   // Guards against restoring a removed row from a stale list that follows a compaction.
-  it('lists anew when the history is gone, and passes over a list that lags', async (t) => {
+  it('lists again after a compaction and ignores a stale list', async (t) => {
     const { events } = await runWatcher([
       buildRows(5),
       buildRows(9),
@@ -76,7 +76,7 @@
   });
 
   // Guards against detecting the source's recovery late because the first call waits for a change.
-  it('asks without waiting after a failure, on a new connection', async (t) => {
+  it('watches without waiting, on a new connection, after a failure', async (t) => {
     const { calls, events, resets } = await runWatcher([
       buildRows(5),
       { kind: 'unavailable', reason: 'silent' },
@@ -89,7 +89,7 @@
   });
 
   // Guards against using a stale list, with a removed key in it, for a whole long-poll interval.
-  it('asks without waiting after a list, which alone says nothing of its own age', async (t) => {
+  it('watches without waiting after a list', async (t) => {
     const { calls } = await runWatcher([buildRows(5), buildRows(6), buildRows(7)]);
     t.like(calls[1], { kind: 'watch', waitMs: 0 });
     t.like(calls[2], { kind: 'watch', waitMs: 1500 });
@@ -97,7 +97,7 @@
 
   // Guards against listing and watching at full rate while the lists are older than the compacted
   // history, which would use up the store's call rate.
-  it('pauses between lists that are too old to go on from', async (t) => {
+  it('backs off while lists are older than the compacted history', async (t) => {
     const startMs = performance.now();
     const { calls } = await runWatcher([
       buildRows(5),
@@ -108,12 +108,12 @@
       { kind: 'compacted' },
     ]);
     t.is(calls.length, 7);
-    t.true(performance.now() - startMs >= 290, 'three pauses of a tenth of a second');
+    t.true(performance.now() - startMs >= 290, 'three pauses of about 100 ms');
   });
 
   // Guards against restoring rows that peers reported as removed, by resuming at the revision
   // before the pause.
-  it('makes no call while it pauses, and goes on from what is known by then', async (t) => {
+  it('makes no call while paused and resumes from the given revision', async (t) => {
     const calls: number[] = [];
     const timers = createTimerService(createSystemClock());
     const reader: FeedReader = {
--- a/src/knowledge/suspension-detector.test.ts
+++ b/src/knowledge/suspension-detector.test.ts
@@ -22,7 +22,7 @@
 describe('suspension detector', ({ it }) => {
   // Guards against refusing keys until a stepped wall clock is set right: each step may cost only
   // one extra confirmation.
-  it('takes a step of the time of day, either way, for one suspension', (t) => {
+  it('reports a wall clock step in either direction as one suspension', (t) => {
     for (const stepMs of [4000, -4000]) {
       const clocks = createClocks();
       const detector = createSuspensionDetector(clocks.clock);
@@ -38,7 +38,7 @@
     }
   });
 
-  it('does not mind clocks that drift', (t) => {
+  it('ignores slow drift', (t) => {
     const clocks = createClocks();
     const detector = createSuspensionDetector(clocks.clock);
     for (let count = 0; count < 1000; count += 1) {
--- a/src/knowledge/table-mirror.test.ts
+++ b/src/knowledge/table-mirror.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('table mirror', ({ it }) => {
-  it('tells what changed since a revision, removals too', (t) => {
+  it('lists changes and removals since a revision', (t) => {
     const mirror = createTableMirror();
     mirror.setAll(
       [
@@ -42,7 +42,7 @@
 
   // Guards against followers fetching the same rows once per watcher because watchers receive one
   // change in responses with different revisions.
-  it('stands at the same revision as any other that knows the same', (t) => {
+  it('has the same content revision as another mirror with the same rows', (t) => {
     const mirrors = [9, 12].map((answerRevision) => {
       const mirror = createTableMirror();
       mirror.setAll([{ key: 'a', value: '1', revision: 3 }], 5);
@@ -55,7 +55,7 @@
     );
   });
 
-  it('takes what a later list lacks for removed', (t) => {
+  it('removes rows that are missing from a later list', (t) => {
     const mirror = createTableMirror();
     mirror.setAll([{ key: 'a', value: '1', revision: 3 }], 5);
     mirror.setAll([], 9);
@@ -65,7 +65,7 @@
 
   // Guards against calls to an endpoint that was added and removed between two lists of one
   // watcher, while another watcher announced it and died.
-  it('lets a follower drop what came and went between two lists', (t) => {
+  it('lets a follower drop a row added and removed between two lists', (t) => {
     const [first, second, follower] = [1, 1, 1].map((revision) => {
       const mirror = createTableMirror();
       mirror.setAll([], revision);
@@ -79,7 +79,7 @@
     t.deepEqual(follower.list(), []);
   });
 
-  it('remembers a bounded number of removals, and gives everything to who lacks an older one', (t) => {
+  it('keeps a bounded number of tombstones and lists all rows for older revisions', (t) => {
     const mirror = createTableMirror();
     mirror.setAll([], 1);
     for (let revision = 2; revision < 1000; revision += 1) {
@@ -91,7 +91,7 @@
 
   // Guards against a follower missing a removal when it asks different watchers, which receive
   // changes at different times, in different batches and partly from lists.
-  it('keeps a follower of several watchers complete, whatever each of them has seen', (t) => {
+  it('keeps a follower of several watchers complete, whatever each has received', (t) => {
     const change = fc.record({
       key: fc.constantFrom('a', 'b', 'c', 'd'),
       isRemoved: fc.boolean(),
--- a/src/knowledge/watch-duty.test.ts
+++ b/src/knowledge/watch-duty.test.ts
@@ -29,8 +29,8 @@
     .filter((name) => computeRole(name, alive, knowledgeAgeMs).kind === 'watch');
 }
 
-describe('watch duty', ({ it }) => {
-  it('falls to one instance of each data centre, and two of them lead', (t) => {
+describe('watch role', ({ it }) => {
+  it('selects one watcher per data centre, two of them leading', (t) => {
     const watching = listWatching(FLEET);
     const dataCentres = FLEET.filter(({ name }) => watching.includes(name)).map(
       ({ dataCentre }) => dataCentre,
@@ -43,7 +43,7 @@
     t.is(leading.length, LEADING_WATCHERS);
   });
 
-  it('falls to three at least, and to whoever is alone', (t) => {
+  it('selects at least three watchers, or all of a smaller fleet', (t) => {
     t.is(listWatching(buildFleet(9, 1)).length, WATCHERS_MIN);
     t.is(listWatching(buildFleet(2, 1)).length, 2);
     t.is(computeRole('a', []).kind, 'watch');
@@ -51,13 +51,13 @@
 
   // Guards against refused requests when the store turns away just the watchers, and against a
   // whole fleet calling the store at once.
-  it('is taken up by ever more as knowledge grows old, by all before keys may not be used', (t) => {
+  it('adds watchers as data ages, up to the whole fleet before keys are refused', (t) => {
     const counts = [2200, 2450, 2850, 3250, 4450].map((ageMs) => listWatching(FLEET, ageMs).length);
     t.deepEqual(counts, [5, 10, 20, 40, 195]);
   });
 
   // Guards against a request storm while the store is down and the whole fleet watches.
-  it('pauses longer between calls that fail the more instances come before', (t) => {
+  it('increases the retry delay with the rank of the watcher', (t) => {
     const perSecond = FLEET.reduce((sum, { name }) => {
       const role = computeRole(name, FLEET, 60_000);
       return sum + (role.kind === 'watch' ? 1 / role.pauseFactor : 0);
@@ -67,7 +67,7 @@
 
   // Guards against many instances calling the store when their clocks jump, although peers can tell
   // them the time.
-  it('is not taken up by those whose clocks jump, while others can tell them', (t) => {
+  it('does not add watchers at once when clocks jump', (t) => {
     const self = FLEET.find(({ name }) => computeRole(name, FLEET).kind === 'follow')?.name ?? '';
     const selector = createWatchDuty(0);
     const advance = (knowledgeAgeMs: number, nowMs: number): string =>
@@ -78,7 +78,7 @@
     t.is(advance(Infinity, 28_000), 'watch');
   });
 
-  it('is kept for a while when it is no longer needed', (t) => {
+  it('keeps watching for a while after it is no longer needed', (t) => {
     const self = FLEET.find(({ name }) => computeRole(name, FLEET).kind === 'follow')?.name ?? '';
     const selector = createWatchDuty(0);
     const advance = (knowledgeAgeMs: number, nowMs: number): string =>
@@ -91,7 +91,7 @@
 
   // Guards against every instance watching when a whole fleet starts and nobody knows the others
   // yet.
-  it('is not taken up by an instance that starts and can ask others', (t) => {
+  it('follows peers at the start if it knows addresses of others', (t) => {
     const selector = createWatchDuty(0);
     const alone = buildFleet(1, 1);
     const advance = (knowledgeAgeMs: number, hasContacts: boolean, nowMs: number): string =>
@@ -109,7 +109,7 @@
     );
   });
 
-  it('passes on when a watcher dies', (t) => {
+  it('replaces a watcher that dies', (t) => {
     const [dead] = listWatching(FLEET);
     const left = FLEET.filter(({ name }) => name !== dead);
     t.is(listWatching(left).length, 5);
--- a/src/membership/membership.test.ts
+++ b/src/membership/membership.test.ts
@@ -99,7 +99,7 @@
 const NAMES = Array.from({ length: 8 }, (_, index) => `entry-${index + 1}`);
 
 describe('membership', ({ it }) => {
-  it('finds everybody', (t) => {
+  it('discovers all members', (t) => {
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     for (const member of fleet.members.values()) t.is(member.listMembers().length, NAMES.length);
@@ -107,7 +107,7 @@
 
   // Guards against a large fleet calling the platform's store at once because each new instance
   // believes for too long that the fleet is small.
-  it('finds everybody from the addresses of a few, in little more than a second', (t) => {
+  it('discovers all members from a few seeds within 1.6 seconds', (t) => {
     const names = Array.from({ length: 60 }, (_, index) => `entry-${index + 1}`);
     const fleet = createFleet(names);
     const contacts = names
@@ -118,7 +118,7 @@
     for (const member of fleet.members.values()) t.is(member.listMembers().length, names.length);
   });
 
-  it('keeps a member that only one other cannot reach', (t) => {
+  it('keeps a member that only one other member cannot reach', (t) => {
     // Guards against dropping a healthy member because of one bad link.
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
@@ -130,7 +130,7 @@
     }
   });
 
-  it('declares a dead member dead everywhere, and takes it back as a new incarnation', (t) => {
+  it('declares a dead member dead and accepts its next incarnation', (t) => {
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     fleet.dead.add('entry-4');
@@ -146,7 +146,7 @@
 
   // Guards against ignoring a restarted member whose wall clock stepped back, so that its
   // incarnation is below the one declared dead.
-  it('takes back a member whose clock stepped back before it started again', (t) => {
+  it('accepts a restarted member whose clock stepped back', (t) => {
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     fleet.dead.add('entry-4');
@@ -157,7 +157,7 @@
     for (const name of NAMES) t.is(fleet.getState(name, 'entry-4'), FactState.ALIVE);
   });
 
-  it('heals after a cut between two halves', (t) => {
+  it('merges after a partition into two halves', (t) => {
     // Guards against a fleet that stays split because each half holds the other for dead.
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
@@ -175,7 +175,7 @@
     }
   });
 
-  it('tells everybody within three seconds that an endpoint leaves', (t) => {
+  it('announces a leaving endpoint to all members within three seconds', (t) => {
     // Guards against new work for a leaving endpoint from instances that read only the platform's
     // lagging list.
     const fleet = createFleet(NAMES);
@@ -187,7 +187,7 @@
     }
   });
 
-  it('tells everybody within a second that a member leaves', (t) => {
+  it('announces a leaving member to all members within a second', (t) => {
     const fleet = createFleet(NAMES);
     fleet.runFor(5000);
     fleet.handle('entry-1', { kind: 'leave' });
@@ -195,7 +195,7 @@
     for (const name of NAMES) t.is(fleet.getState(name, 'entry-1'), FactState.LEAVING);
   });
 
-  it('sends no more as the fleet grows tenfold', (t) => {
+  it('keeps the bytes sent per member bounded as the fleet grows tenfold', (t) => {
     const countQuietBytes = (size: number): number => {
       const fleet = createFleet(Array.from({ length: size }, (_, index) => `m-${index}`));
       fleet.runFor(20_000);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -182,7 +182,7 @@
     invariants.check(
       'membership_incarnation_grows',
       known === undefined || fact.incarnation >= known.incarnation,
-      () => `${fact.subject}: ${fact.incarnation} after ${known?.incarnation ?? 0}`,
+      () => `${fact.subject}: incarnation ${fact.incarnation} after ${known?.incarnation ?? 0}`,
     );
     storeFact(fact, nowMs);
   }
--- a/src/membership/reachability.test.ts
+++ b/src/membership/reachability.test.ts
@@ -5,7 +5,7 @@
 
 describe('reachability of data centres', ({ it }) => {
   // Guards against calls to a data centre that is cut off while its endpoints are still registered.
-  it('notices a data centre whose instances all fell silent', (t) => {
+  it('reports a data centre whose instances are all silent', (t) => {
     const reachability = createReachability('own');
     for (const name of DATA_CENTRES) reachability.recordHeard(name, 0);
     reachability.recordHeard('own', SILENCE_TIMEOUT_MS);
@@ -15,13 +15,13 @@
   });
 
   // Guards against avoiding other data centres when only this instance is cut off from its peers.
-  it('takes its own silence for no cut of the others', (t) => {
+  it('reports nothing if no instance at all is heard', (t) => {
     const reach = createReachability('own');
     for (const name of DATA_CENTRES) reach.recordHeard(name, 0);
     t.false(reach.isCut('far', SILENCE_TIMEOUT_MS));
   });
 
-  it('knows nothing of data centres it never heard', (t) => {
+  it('reports neither its own data centre nor one that was never heard', (t) => {
     const reach = createReachability('own');
     reach.recordHeard('own', 0);
     t.false(reach.isCut('far', 1));
