--- a/src/claims/claim.test.ts
+++ b/src/claims/claim.test.ts
@@ -95,15 +95,15 @@
   const { claim, command } = attempt;
   switch (command.kind) {
     case 'insert': {
-      const ending = runWrite(item, fault, () => item.applyInsert(command.document));
-      attempt.command = claim.handle({ kind: 'inserted', ending });
+      const result = runWrite(item, fault, () => item.applyInsert(command.document));
+      attempt.command = claim.handle({ kind: 'inserted', ending: result });
       break;
     }
     case 'take_over': {
-      const ending = runWrite(item, fault, () =>
+      const result = runWrite(item, fault, () =>
         item.applyReplace(command.document, command.expectedVersion),
       );
-      attempt.command = claim.handle({ kind: 'taken_over', ending });
+      attempt.command = claim.handle({ kind: 'taken_over', ending: result });
       break;
     }
     case 'read':
--- a/src/claims/claim.ts
+++ b/src/claims/claim.ts
@@ -156,10 +156,10 @@
   }
 
   function handleWrite(
-    ending: WriteEnding,
+    result: WriteEnding,
     write: NonNullable<typeof ambiguousWrite>,
   ): ClaimCommand {
-    switch (ending) {
+    switch (result) {
       case 'written':
         return { kind: 'proceed', version: write.kind === 'insert' ? 1 : write.version + 1 };
       case 'conflict':
@@ -171,7 +171,7 @@
       case 'rejected':
         return refuseUnconfirmed();
       default:
-        return assertNever(ending);
+        return assertNever(result);
     }
   }
 
--- a/src/knowledge/feed-watcher.test.ts
+++ b/src/knowledge/feed-watcher.test.ts
@@ -16,14 +16,14 @@
 }
 
 /** Runs a watcher on scripted responses until they are used up. */
-async function runWatcher(answers: readonly FeedAnswer[]) {
+async function runWatcher(responses: readonly FeedAnswer[]) {
   const calls: Call[] = [];
   const events: string[] = [];
   let resets = 0;
   const timers = createTimerService(createSystemClock());
   const done = new Promise<void>((resolve) => {
     const takeNextResponse = async (call: Call): Promise<FeedAnswer> => {
-      const next = answers[calls.length];
+      const next = responses[calls.length];
       calls.push(call);
       if (next !== undefined) return next;
       resolve();
--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -15,9 +15,9 @@
    * All rows; a row that is missing does not exist. A list may be seconds behind the source: only
    * the response to the watch after it confirms that nothing newer exists.
    */
-  onListed(rows: readonly FeedRow[], answer: AnswerTimes): void;
+  onListed(rows: readonly FeedRow[], response: AnswerTimes): void;
   /** Changed rows; empty if the call only confirmed that nothing changed. */
-  onChanged(rows: readonly FeedRow[], answer: AnswerTimes): void;
+  onChanged(rows: readonly FeedRow[], response: AnswerTimes): void;
   onLost(reason: string): void;
 }
 
@@ -78,23 +78,23 @@
     return pauseMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
   }
 
-  function handleRows(answer: Extract<FeedAnswer, { kind: 'rows' }>): void {
+  function handleRows(response: Extract<FeedAnswer, { kind: 'rows' }>): void {
     failures = 0;
     // Guards against stale lists, which would bring back removed rows.
-    if (answer.revision < highestRevision) return;
-    highestRevision = answer.revision;
+    if (response.revision < highestRevision) return;
+    highestRevision = response.revision;
     const isList = revision === undefined;
     isConfirmed = !isList;
     if (isConfirmed) compactions = 0;
-    revision = answer.revision;
-    if (isList) listener.onListed(answer.rows, answer);
-    else listener.onChanged(answer.rows, answer);
+    revision = response.revision;
+    if (isList) listener.onListed(response.rows, response);
+    else listener.onChanged(response.rows, response);
   }
 
-  function handleResponse(answer: FeedAnswer): number {
-    switch (answer.kind) {
+  function handleResponse(response: FeedAnswer): number {
+    switch (response.kind) {
       case 'rows':
-        handleRows(answer);
+        handleRows(response);
         return revision === undefined ? RETRY_MIN_MS : 0;
       case 'compacted':
         revision = undefined;
@@ -107,7 +107,7 @@
         failures += 1;
         isConfirmed = false;
         reader.reset();
-        listener.onLost(answer.reason);
+        listener.onLost(response.reason);
         return computePauseMs(failures);
     }
   }
@@ -119,9 +119,9 @@
   }
 
   async function runCall(current: number): Promise<void> {
-    const answer = await fetchNext();
+    const response = await fetchNext();
     if (isStopped || current !== generation) return;
-    const pauseMs = handleResponse(answer);
+    const pauseMs = handleResponse(response);
     if (pauseMs > 0) timers.subscribeOnce(pauseMs, () => startCall(current));
     else setImmediate(() => startCall(current));
   }
--- a/src/knowledge/table-mirror.test.ts
+++ b/src/knowledge/table-mirror.test.ts
@@ -43,10 +43,10 @@
   // Guards against followers fetching the same rows once per watcher because watchers receive one
   // change in responses with different revisions.
   it('has the same content revision as another mirror with the same rows', (t) => {
-    const mirrors = [9, 12].map((answerRevision) => {
+    const mirrors = [9, 12].map((responseRevision) => {
       const mirror = createTableMirror();
       mirror.setAll([{ key: 'a', value: '1', revision: 3 }], 5);
-      mirror.apply([{ key: 'a', value: '2', revision: 7 }], answerRevision);
+      mirror.apply([{ key: 'a', value: '2', revision: 7 }], responseRevision);
       return mirror;
     });
     t.deepEqual(
