--- a/src/claims/claim.test.ts
+++ b/src/claims/claim.test.ts
@@ -41,11 +41,11 @@
 type FakeItem = ReturnType<typeof createFakeItem>;
 
 /** How the table treats the next write. */
-type WriteFault = 'fine' | 'answer_lost' | 'late' | 'never';
+type WriteFault = 'none' | 'answer_lost' | 'late' | 'never';
 
 function runWrite(item: FakeItem, fault: WriteFault, write: () => boolean): WriteEnding {
   switch (fault) {
-    case 'fine':
+    case 'none':
       return write() ? 'written' : 'conflict';
     case 'answer_lost':
       write();
@@ -130,7 +130,7 @@
   if (isClosed) attempt.ledger.remove(attempt.attemptId);
 }
 
-const faultArbitrary = fc.constantFrom<WriteFault>('fine', 'answer_lost', 'late', 'never');
+const faultArbitrary = fc.constantFrom<WriteFault>('none', 'answer_lost', 'late', 'never');
 
 describe('claim', ({ describe: describeInner, it }) => {
   it('lets at most one attempt run under any order of faults', (t) => {
@@ -176,12 +176,12 @@
     const item = createFakeItem();
     const attempt = startAttempt('a0', createAttemptLedger());
     runStep(item, [attempt], attempt, 'late');
-    runStep(item, [attempt], attempt, 'fine');
+    runStep(item, [attempt], attempt, 'none');
     t.is(attempt.command.kind, 'refuse');
     item.applyDelayed();
     t.false(attempt.ledger.take('a0'));
     const second = startAttempt('a1', createAttemptLedger());
-    while (!isEnded(second.command)) runStep(item, [attempt, second], second, 'fine');
+    while (!isEnded(second.command)) runStep(item, [attempt, second], second, 'none');
     t.is(second.command.kind, 'proceed');
   });
 
--- a/src/knowledge/table-mirror.ts
+++ b/src/knowledge/table-mirror.ts
@@ -37,7 +37,7 @@
   const rows = new Map<string, MirroredRow>();
   /** Tombstones in order of removal. */
   const tombstones = new Map<string, MirroredRow>();
-  /** Changes since an earlier revision are incomplete; its followers get all rows. */
+  /** Changes since an earlier revision are incomplete: followers behind it get all rows. */
   let compactedRevision = 0;
   let currentRevision = 0;
   let contentRevision = 0;
@@ -73,8 +73,7 @@
 
   function setAll(listed: readonly FeedRow[], revision: number): void {
     currentRevision = Math.max(currentRevision, revision);
-    // Rows added and removed since the previous list are unknown: followers behind this one get all
-    // rows.
+    // Rows added and removed since the previous list are unknown.
     compactedRevision = currentRevision;
     // Guards against calls to an endpoint that was added and removed between two lists of this
     // instance, while another watcher announced it and died. The new revision makes followers fetch
