--- a/src/calls/call-life.test.ts
+++ b/src/calls/call-state-machine.test.ts
@@ -3,45 +3,45 @@
 import { CALL_KIND } from '../types/traffic.js';
 import type { CallKind } from '../types/traffic.js';
 import { OUTCOME } from '../types/outcomes.js';
-import { createCallLife } from './call-life.js';
-import type { CallLife } from './call-life.js';
+import { createCallStateMachine } from './call-state-machine.js';
+import type { CallStateMachine } from './call-state-machine.js';
 import type { AnswerHead, AttemptEnd, CallCommand, CallMessage } from './call-messages.js';
 
 const HEAD: AnswerHead = { status: 200, headers: [] };
 const DEADLINE_MS = 5000;
-const STALL_MS = 600;
-const GAP_MS = 800;
+const FIRST_RESPONSE_TIMEOUT_MS = 600;
+const STREAM_IDLE_TIMEOUT_MS = 800;
 
 interface Harness {
-  readonly life: CallLife;
+  readonly stateMachine: CallStateMachine;
   readonly commands: CallCommand[];
   send(message: CallMessage, nowMs?: number): CallCommand[];
 }
 
-function createHarness(kind: CallKind, attemptsMax = 2, retries = 10, isHeld = false): Harness {
-  let left = retries;
+function createHarness(kind: CallKind, attemptsMax = 2, retries = 10, isHeldBack = false): Harness {
+  let retriesLeft = retries;
   const commands: CallCommand[] = [];
-  const life = createCallLife({
+  const stateMachine = createCallStateMachine({
     kind,
     attemptsMax,
     deadlineMs: DEADLINE_MS,
     lastEventId: undefined,
-    stallMs: STALL_MS,
-    gapMs: GAP_MS,
+    firstResponseTimeoutMs: FIRST_RESPONSE_TIMEOUT_MS,
+    streamIdleTimeoutMs: STREAM_IDLE_TIMEOUT_MS,
     takeRetry() {
-      left -= 1;
-      return left >= 0;
+      retriesLeft -= 1;
+      return retriesLeft >= 0;
     },
   });
   return {
-    life,
+    stateMachine,
     commands,
     send(message, nowMs = 0) {
-      const sent = life.handle(message, nowMs);
+      const sent = stateMachine.handle(message, nowMs);
       commands.push(...sent);
       const attempt = sent.findLast((command) => command.kind === 'attempt');
-      if (attempt !== undefined && !isHeld) {
-        life.handle({ kind: 'dispatched', attempt: attempt.attempt }, nowMs);
+      if (attempt !== undefined && !isHeldBack) {
+        stateMachine.handle({ kind: 'dispatched', attempt: attempt.attempt }, nowMs);
       }
       return sent;
     },
@@ -55,11 +55,10 @@
 const BROKEN: AttemptEnd = { kind: 'broken', reason: 'reset' };
 const REJECTED: AttemptEnd = { kind: 'rejected', isWrongEndpoint: false };
 
-describe('call life', ({ describe: block }) => {
-  block('calls that may run once', ({ it }) => {
-    // A clerk posts an order; the connection to its endpoint breaks after the order was written.
-    // Sending it again could ship twice, and "not run" could be false: the answer is 502.
-    it('are not sent again once they may have run, and are not said to be unrun', (t) => {
+describe('call state machine', ({ describe: block }) => {
+  block('non-idempotent calls', ({ it }) => {
+    // Guards against running a non-idempotent call twice, and against reporting it as not run.
+    it('are not retried once they may have run, and are not reported as not run', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       const ended = send({ kind: 'ended', attempt: 1, end: BROKEN });
@@ -68,8 +67,7 @@
       t.is(findFailure(ended)?.retryAfterMs, undefined);
     });
 
-    // The first endpoint is full and says so; a second may have the order without danger.
-    it('go to another endpoint when the first proves that it ran nothing', (t) => {
+    it('are retried if the first endpoint reports that it did not run them', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       const next = send({ kind: 'ended', attempt: 1, end: REJECTED });
@@ -79,18 +77,17 @@
       t.truthy(findFailure(last)?.retryAfterMs);
     });
 
-    // The caller leaves while its order runs: stopping it halfway helps nobody.
-    it('are seen through when their caller leaves', (t) => {
+    // Guards against cancelling a non-idempotent call halfway.
+    it('run to their end after the caller disconnects', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       t.deepEqual(send({ kind: 'caller_left' }), []);
     });
   });
 
-  block('repeatable calls', ({ it }) => {
-    // An endpoint answers 500 of its own; a second one may do better, and where it does not, the
-    // caller gets the first endpoint's answer rather than one we make up.
-    it('keep the first error while a second endpoint is tried', (t) => {
+  block('idempotent calls', ({ it }) => {
+    // Guards against replacing an endpoint's error response by one of the router.
+    it('return the first error response if the retry fails', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent);
       const answer = { head: { status: 500, headers: [] }, body: Buffer.from('sorry') };
       send({ kind: 'start' });
@@ -100,20 +97,19 @@
       t.deepEqual(last, [{ kind: 'deliver_answer', ...answer }]);
     });
 
-    // An endpoint runs a stock query and its answer is lost: silence until the time limit. After
-    // three times the usual time the query goes to another endpoint, and the first is let go.
-    it('move on when their answer was lost on the way', (t) => {
+    // Guards against waiting for a lost response until the deadline.
+    it('are retried if there is no response', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent);
       send({ kind: 'start' });
-      t.deepEqual(send({ kind: 'tick' }, STALL_MS - 1), []);
-      const moved = send({ kind: 'tick' }, STALL_MS);
+      t.deepEqual(send({ kind: 'tick' }, FIRST_RESPONSE_TIMEOUT_MS - 1), []);
+      const moved = send({ kind: 'tick' }, FIRST_RESPONSE_TIMEOUT_MS);
       t.deepEqual(
         moved.map(({ kind }) => kind),
         ['cancel', 'attempt'],
       );
     });
 
-    it('are not repeated beyond the shared budget', (t) => {
+    it('are not retried beyond the shared budget', (t) => {
       const { send } = createHarness(CALL_KIND.Idempotent, 2, 0);
       send({ kind: 'start' });
       const ended = send({ kind: 'ended', attempt: 1, end: BROKEN });
@@ -122,9 +118,8 @@
   });
 
   block('streams', ({ it }) => {
-    // An engine dies in the middle of a draft. Another engine goes on after the last whole event;
-    // the caller sees one answer under the first head.
-    it('that may be resumed go on at the last event delivered', (t) => {
+    // Guards against repeated events and a second head after an engine fails during a stream.
+    it('are resumed after the last event delivered', (t) => {
       const { send } = createHarness(CALL_KIND.ResumableStream);
       send({ kind: 'start' });
       send({ kind: 'stream_started', attempt: 1, head: HEAD });
@@ -136,21 +131,20 @@
       t.deepEqual(late, []);
     });
 
-    // A data centre is cut off in the middle of a draft: its events stop coming and nothing breaks.
-    // The caller would give up; the draft goes on at an engine that can be reached.
-    it('that may be resumed move on when they fall silent', (t) => {
+    // Guards against waiting for a stream whose data centre became unreachable without a reset.
+    it('are resumed at another endpoint if events stop arriving', (t) => {
       const { send } = createHarness(CALL_KIND.ResumableStream);
       send({ kind: 'start' });
       send({ kind: 'stream_started', attempt: 1, head: HEAD }, 100);
       send({ kind: 'event', attempt: 1, id: '3', bytes: Buffer.from('id: 3\n\n') }, 200);
-      t.deepEqual(send({ kind: 'tick' }, 200 + GAP_MS - 1), []);
-      const moved = send({ kind: 'tick' }, 200 + GAP_MS);
+      t.deepEqual(send({ kind: 'tick' }, 200 + STREAM_IDLE_TIMEOUT_MS - 1), []);
+      const moved = send({ kind: 'tick' }, 200 + STREAM_IDLE_TIMEOUT_MS);
       t.like(moved[0], { kind: 'cancel', reason: 'stalled' });
       t.like(moved[1], { kind: 'attempt', lastEventId: '3' });
     });
 
-    // A stream that may not run twice loses its engine: what the caller has must not look whole.
-    it('that may not be resumed end visibly broken', (t) => {
+    // Guards against a truncated stream that looks complete to the caller.
+    it('that cannot be resumed end with an error visible to the caller', (t) => {
       const { send } = createHarness(CALL_KIND.Stream);
       send({ kind: 'start' });
       send({ kind: 'stream_started', attempt: 1, head: HEAD });
@@ -158,7 +152,7 @@
       t.is(ended[0]?.kind, 'break_answer');
     });
 
-    it('are cancelled at the endpoint when their caller leaves', (t) => {
+    it('are cancelled at the endpoint when the caller disconnects', (t) => {
       const { send } = createHarness(CALL_KIND.Stream);
       send({ kind: 'start' });
       t.like(send({ kind: 'caller_left' })[0], { kind: 'cancel', attempt: 1 });
@@ -166,7 +160,7 @@
   });
 
   block('the deadline', ({ it }) => {
-    it('ends a call that is under way, as one that may have run', (t) => {
+    it('ends a running call as one that may have run', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent);
       send({ kind: 'start' });
       const ended = send({ kind: 'tick' }, DEADLINE_MS);
@@ -175,10 +169,9 @@
     });
   });
 
-  block('a call that is held back', ({ it }) => {
-    // Engines are full of long prompts and this one waits here until its time is up. Nothing was
-    // sent: the caller may be told so, and when to come back.
-    it('has not run when its deadline comes', (t) => {
+  block('a waiting call', ({ it }) => {
+    // Guards against reporting a call that was never sent as one that may have run.
+    it('is reported as not run at its deadline', (t) => {
       const { send } = createHarness(CALL_KIND.NonIdempotent, 2, 10, true);
       send({ kind: 'start' });
       const ended = send({ kind: 'tick' }, DEADLINE_MS);
@@ -187,7 +180,7 @@
     });
   });
 
-  block('for any order of events', ({ it }) => {
+  block('for any order of messages', ({ it }) => {
     const ends: AttemptEnd[] = [
       { kind: 'unsent' },
       REJECTED,
@@ -203,7 +196,7 @@
       fc.record({ kind: fc.constant('caller_left' as const) }),
     );
 
-    it('a call ends once, and what may run once is sent again only with proof', (t) => {
+    it('a call ends once, and a non-idempotent one is retried only if it did not run', (t) => {
       fc.assert(
         fc.property(
           fc.constantFrom(...Object.values(CALL_KIND)),
@@ -221,7 +214,7 @@
               const isSentAgain = sent.some((command) => command.kind === 'attempt');
               const isProof =
                 step.kind === 'ended' && ['unsent', 'rejected'].includes(step.end.kind);
-              // Only the proof that the attempt under way ran nothing frees the call.
+              // A retry requires proof that the current attempt did not run.
               if (isOnce && isSentAgain && (hasBegun || !isProof)) return false;
               hasBegun = !isSentAgain && (hasBegun || step.kind === 'stream_started');
             }
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * What an instance does with the others: membership, telling of loads and of what it knows, and asking
- * for knowledge that others have and it lacks.
+ * Communication between instances: membership, exchange of endpoint loads and usage counts, and fetches
+ * of table contents that other instances have and this one lacks.
  */
 import type { TrueTime } from '../duties/true-time.js';
 import type { UsageTelling } from '../duties/usage-meter.js';
@@ -23,19 +23,17 @@
 import type { TimerService } from '../runtime/timer-service.js';
 import type { InstanceListClient } from '../storage/instance-list-client.js';
 import type { Random } from '../utils/random.js';
-import type { KnowledgeKeeper } from './knowledge-keeper.js';
-import { createKnowledgeQuestions } from './knowledge-questions.js';
-import type { KnowledgePeer } from './knowledge-questions.js';
+import type { KnowledgeStore } from './knowledge-keeper.js';
+import { createKnowledgeFetcher } from './knowledge-fetcher.js';
+import type { KnowledgePeer } from './knowledge-fetcher.js';
 
-/** A round of membership probes, in milliseconds: nothing waits on the verdict, and each probe costs a millisecond of processor time on both sides. */
 const PROBE_PERIOD_MS = 2000;
-/** Probes are looked at this often, in milliseconds: the shortest bound on them is 200. */
-const FLEET_TICK_MS = 100;
-/** Whether to watch is decided, and peers are asked while the own knowledge is too old, this often, in milliseconds. */
-const DUTY_PERIOD_MS = 300;
-const ASK_PEERS = 2;
+/** Interval at which the timeouts of membership probes are checked. */
+const MEMBERSHIP_TICK_MS = 100;
+/** Interval at which the watch duty is updated and outdated knowledge is fetched from peers. */
+const WATCH_DUTY_PERIOD_MS = 300;
+const FETCH_PEERS_COUNT = 2;
 
-/** What the exchange is built on. */
 export interface PeerExchangeOptions {
   readonly self: Contact;
   readonly incarnation: number;
@@ -51,37 +49,36 @@
   readonly loads: EndpointLoads;
   readonly quarantine: Pick<Quarantine, 'takeTold' | 'merge'>;
   readonly knowledge: Pick<
-    KnowledgeKeeper,
+    KnowledgeStore,
     'applyResponse' | 'applySummary' | 'computeAge' | 'getSummary' | 'setDuty'
   >;
-  /** Knowledge older than this is too old for some uses, in milliseconds: peers are asked. */
+  /** Knowledge older than this is fetched from peers. */
   readonly knowledgeAgeMaxMs: number;
   readonly isLeaving: () => boolean;
 }
 
-/** An instance's dealings with the others. */
 export interface PeerExchange {
-  handleTold(told: PeerTelling): void;
+  handleTold(status: PeerTelling): void;
   handleCases(from: string, cases: readonly ToldCase[]): void;
   handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
   recordUnreachable(address: string): void;
-  /** Asks others for what they know, whatever the age of the own knowledge. */
-  postQuestions(): void;
-  /** Whether a data centre is out of reach for now. */
+  /** Fetches knowledge from peers, whatever the age of this instance's knowledge. */
+  startKnowledgeFetches(): void;
   isCut(dataCentre: string): boolean;
-  /** Whether this instance is one of those that keep what the fleet's duties need. */
-  isKeeper(): boolean;
-  /** Names of the other keepers. */
-  listKeepers(): readonly string[];
-  /** Tells the other keepers. */
-  sendUsage(telling: UsageTelling): void;
-  /** Instances that share the endpoints, this one included. */
+  /** Whether this instance may hold the fleet's duties and therefore keeps the usage counts. */
+  isDutyCandidate(): boolean;
+  /** Names of the other duty candidates. */
+  listDutyCandidates(): readonly string[];
+  /** Sends usage counts to the other duty candidates. */
+  sendUsage(usage: UsageTelling): void;
+  /** Number of instances that share the endpoints, including this one. */
   countInstances(): number;
+  /** Announces that this instance is leaving. */
   leave(): void;
+  /** Announces that this instance has left. */
   left(): void;
 }
 
-/** Starts the exchange. */
 export function createPeerExchange(options: PeerExchangeOptions): PeerExchange {
   const { self, timers, random, log, links, loads, knowledge, seeds } = options;
   const getNow = (): number => timers.clock.monotonicMs();
@@ -89,13 +86,13 @@
   const watchDuty = createWatchDuty(getNow());
   const hasContacts = seeds.length > 0 && !seeds.includes(self.address);
   let isListed = false;
-  let cut: ReadonlySet<string> = new Set();
-  /** The other keepers. */
-  let keepers: readonly Contact[] = [];
-  let isKeeper = false;
+  let unreachableDataCentres: ReadonlySet<string> = new Set();
+  /** Duty candidates other than this instance. */
+  let otherCandidates: readonly Contact[] = [];
+  let isCandidate = false;
 
-  /** Full exchanges outgrow a datagram; all other gossip fits one. */
-  function postGossip(address: string, body: PeerMessage['body']): void {
+  /** Full synchronisations exceed the size of a datagram; all other gossip fits. */
+  function sendGossip(address: string, body: PeerMessage['body']): void {
     if (body.case === 'syncFacts') links.send(address, body);
     else options.datagrams.sendGossip(address, body);
   }
@@ -108,14 +105,14 @@
     invariants: options.invariants,
     timers,
     instances: options.instances,
-    // Those that watch can be found by whoever reaches the source; everybody else by them.
+    // Only watchers are listed; other instances are found through them.
     usesList: () => isListed,
     seeds,
     isLeaving: options.isLeaving,
-    tickMs: FLEET_TICK_MS,
-    send: postGossip,
-    onChanged(fact, before) {
-      if (before?.state === fact.state) return;
+    tickMs: MEMBERSHIP_TICK_MS,
+    send: sendGossip,
+    onChanged(fact, previous) {
+      if (previous?.state === fact.state) return;
       log.write({ event: 'peer_changed', peer: fact.subject, state: FactState[fact.state] });
     },
   });
@@ -129,7 +126,7 @@
   }
 
   const loadExchange = createLoadExchange({ self, loads, listFleet: listAlive });
-  const questions = createKnowledgeQuestions({
+  const knowledgeFetcher = createKnowledgeFetcher({
     timers,
     log,
     links,
@@ -138,36 +135,39 @@
     onKnowledge: (peer, response, sentMs) => knowledge.applyResponse(peer, response, sentMs),
   });
 
-  function choosePeers(peers: readonly KnowledgePeer[], count: number): KnowledgePeer[] {
-    const rest = [...peers];
-    while (rest.length > count) rest.splice(random.nextIndex(rest.length), 1);
-    return rest;
+  function chooseRandomPeers(peers: readonly KnowledgePeer[], count: number): KnowledgePeer[] {
+    const chosen = [...peers];
+    while (chosen.length > count) chosen.splice(random.nextIndex(chosen.length), 1);
+    return chosen;
   }
 
-  function postQuestions(): void {
+  function startKnowledgeFetches(): void {
     if (
       Number.isFinite(knowledge.computeAge()) ||
       knowledge.getSummary().configurationRevision > 0
     ) {
       const others = listAlive().filter(({ name }) => name !== self.name);
-      for (const peer of choosePeers(others, ASK_PEERS)) questions.post(peer);
+      for (const peer of chooseRandomPeers(others, FETCH_PEERS_COUNT))
+        knowledgeFetcher.startFetch(peer);
       return;
     }
-    // Who knows something will tell; until then the seeds are the first to know.
+    // Without any knowledge, ask the seeds.
     const contacts = seeds
       .filter((address) => address !== self.address)
       .map((address) => ({ name: address, address }));
-    for (const seed of choosePeers(contacts, 1)) questions.post(seed);
+    for (const seed of chooseRandomPeers(contacts, 1)) knowledgeFetcher.startFetch(seed);
   }
 
-  /** Looked at here rather than at each choice: it walks the whole fleet. */
-  function updateCut(): void {
+  /** Cached, since it iterates over all instances and is read for each placement. */
+  function updateUnreachable(): void {
     const nowMs = getNow();
     const dataCentres = new Set(fleet.listPresent().map((fact) => fact.dataCentre));
-    cut = new Set([...dataCentres].filter((name) => reachability.isCut(name, nowMs)));
+    unreachableDataCentres = new Set(
+      [...dataCentres].filter((name) => reachability.isCut(name, nowMs)),
+    );
   }
 
-  /** Cases go to whom loads are told: so they reach everybody in as many steps. */
+  /** Sends quarantine cases to the recipients of the loads, so that they spread as fast. */
   function sendCases(tellings: readonly AddressedTelling[]): void {
     const addresses = [...new Set(tellings.flatMap((telling) => telling.addresses))];
     if (addresses.length === 0) return;
@@ -175,15 +175,15 @@
     if (cases.length > 0) options.datagrams.sendCases(addresses, cases);
   }
 
-  /** Keepers are those that follow the source: they reach what duties need. */
-  function updateKeepers(alive: readonly Contact[]): void {
+  /** Duty candidates are the instances that watch the source, which duties depend on. */
+  function updateDutyCandidates(alive: readonly Contact[]): void {
     const names = new Set(listWatchers(alive));
-    keepers = alive.filter(({ name }) => names.has(name) && name !== self.name);
+    otherCandidates = alive.filter(({ name }) => names.has(name) && name !== self.name);
   }
 
-  function advanceDuty(): void {
-    const alive = listAlive().filter(({ dataCentre }) => !cut.has(dataCentre));
-    updateKeepers(alive);
+  function advanceWatchDuty(): void {
+    const alive = listAlive().filter(({ dataCentre }) => !unreachableDataCentres.has(dataCentre));
+    updateDutyCandidates(alive);
     const duty = watchDuty.advance(
       {
         self: self.name,
@@ -194,39 +194,40 @@
       getNow(),
     );
     isListed = duty.kind === 'watch' && duty.isListed;
-    // Not by the list of those that are alive: who starts knows nobody and would take itself for one of few.
-    isKeeper = isListed;
+    // Not derived from the live instances: a starting instance knows none and would choose itself.
+    isCandidate = isListed;
     knowledge.setDuty(duty);
   }
 
   timers.subscribe(TELL_PERIOD_MS, () => {
-    updateCut();
+    updateUnreachable();
     const summary = knowledge.getSummary();
     const tellings = loadExchange.advance(getNow());
     const time = options.time.buildTold(getNow());
     for (const telling of tellings) options.datagrams.sendLoads(telling, summary, time);
     sendCases(tellings);
   });
-  timers.subscribe(DUTY_PERIOD_MS, () => {
-    advanceDuty();
-    if (knowledge.computeAge() > options.knowledgeAgeMaxMs) postQuestions();
+  timers.subscribe(WATCH_DUTY_PERIOD_MS, () => {
+    advanceWatchDuty();
+    if (knowledge.computeAge() > options.knowledgeAgeMaxMs) startKnowledgeFetches();
   });
-  timers.subscribeOnce(0, advanceDuty);
+  timers.subscribeOnce(0, advanceWatchDuty);
 
   return {
-    handleTold(told) {
+    handleTold(status) {
       const nowMs = getNow();
-      for (const name of [told.dataCentre, ...told.heardDataCentres]) {
+      for (const name of [status.dataCentre, ...status.heardDataCentres]) {
         reachability.recordHeard(name, nowMs);
       }
-      if (told.time !== undefined) options.time.recordTold(told.time, nowMs);
-      loadExchange.handle(told, nowMs);
-      const isNews = knowledge.applySummary(told.knowledge);
-      const address = isNews ? fleet.findAddress(told.instance) : undefined;
-      if (address !== undefined) questions.postForNews({ name: told.instance, address });
+      if (status.time !== undefined) options.time.recordTold(status.time, nowMs);
+      loadExchange.handle(status, nowMs);
+      const isPeerAhead = knowledge.applySummary(status.knowledge);
+      const address = isPeerAhead ? fleet.findAddress(status.instance) : undefined;
+      if (address !== undefined)
+        knowledgeFetcher.startUpdateFetch({ name: status.instance, address });
     },
     handleCases: (from, cases) => options.quarantine.merge(cases, from),
-    isCut: (dataCentre) => cut.has(dataCentre),
+    isCut: (dataCentre) => unreachableDataCentres.has(dataCentre),
     handleBodies(from, bodies) {
       for (const body of bodies) {
         switch (body.case) {
@@ -237,18 +238,18 @@
             fleet.handle(from, body);
             break;
           default:
-            // Tickets and slots are for routers with declared classes.
+            // Tickets and slots are used only by routers with declared classes.
             break;
         }
       }
     },
     recordUnreachable: (address) => fleet.recordUnreachable(address),
-    postQuestions,
-    isKeeper: () => isKeeper,
-    listKeepers: () => keepers.map(({ name }) => name),
-    sendUsage(telling) {
-      const addresses = keepers.map(({ address }) => address);
-      if (addresses.length > 0) options.datagrams.sendUsage(addresses, telling);
+    startKnowledgeFetches,
+    isDutyCandidate: () => isCandidate,
+    listDutyCandidates: () => otherCandidates.map(({ name }) => name),
+    sendUsage(usage) {
+      const addresses = otherCandidates.map(({ address }) => address);
+      if (addresses.length > 0) options.datagrams.sendUsage(addresses, usage);
     },
     countInstances: () => fleet.listAlive().length,
     leave: () => fleet.leave(),
--- a/src/quarantine/case-ledger.ts
+++ b/src/quarantine/case-ledger.ts
@@ -1,37 +1,41 @@
-/** The cases of one instance, its own findings merged with what others tell. Free of I/O and bounded. */
+/**
+ * Crash cases known to one instance, merged from its own findings and its peers' reports. Does no
+ * I/O; bounded in size.
+ */
 import type { ContentId } from '../calls/content-id.js';
 import type { EndpointKey } from '../placement/told-loads.js';
 import { STANDING, computeStanding } from './crash-case.js';
-import type { CrashCase, OrganisationKey, Standing, Strike } from './crash-case.js';
+import type { CrashCase, OrganisationKey, Standing, CrashRecord } from './crash-case.js';
 
-/** A case that nothing was heard of for this long is forgotten, in milliseconds: a day, by when an operator has seen it. */
-const LIFE_MS = 24 * 60 * 60 * 1000;
-/** Cleared cases are kept this long, in milliseconds, for instances that were cut off and still tell of their crashes. */
-const CLEARED_LIFE_MS = 10 * 60 * 1000;
-/** Cases that are kept: 4 MB of memory. */
+/** Long enough for an operator to see a case. */
+const RETENTION_MS = 24 * 60 * 60 * 1000;
+/** Long enough for late reports of cleared crashes from instances that were partitioned. */
+const CLEARED_RETENTION_MS = 10 * 60 * 1000;
+/** About 4 MB of memory. */
 const CASES_MAX = 4096;
 /**
- * Those of one organisation.
- *
- * Guards against an organisation that sends ever new contents under which endpoints crash: it would push
- * out the cases of others, which then come again.
+ * Guards against one organisation evicting the others' cases by sending many different crashing
+ * contents.
  */
 const ORGANISATION_CASES_MAX = 512;
-/** Crashes that are kept of one content. */
-const STRIKES_MAX = 12;
-/** Crashes of one content that are remembered as cleared; the oldest give way, of which nobody tells any more. */
+/** Per content. */
+const CRASHES_MAX = 12;
+/** Per content; the oldest are dropped first. */
 const CLEARED_MAX = 16;
 
-/** Crashes that a told case needs where no room is left, so that instances do not push out each other's cases in turn. */
-const TOLD_STRIKES_MIN = 2;
+/**
+ * Minimum for accepting a reported case when full, so that instances do not keep evicting each
+ * other's cases.
+ */
+const REPORTED_CRASHES_MIN = 2;
 
-/** A crash at which contents of this instance's calls ran. */
-export interface FoundCrash extends Strike {
+/** A crash found by this instance, with a content that was running on the endpoint. */
+export interface ContentCrash extends CrashRecord {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
 }
 
-/** A case as an instance tells it, in milliseconds before or after the telling. */
+/** A case as instances report it to each other, with times relative to the report. */
 export interface ToldCase {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
@@ -44,35 +48,40 @@
   readonly trial: { readonly start: EndpointKey; readonly leftMs: number } | undefined;
 }
 
-/** A case whose standing or evidence changed. */
+/** A case whose evidence changed, with its standing before and after. */
 export interface CaseChange {
   readonly subject: CrashCase;
   readonly before: Standing;
   readonly standing: Standing;
 }
 
-/** The cases. Changes are returned where something new was learned. */
+/** Crash cases by content. Methods that learn something new return what changed. */
 export interface CaseLedger {
   isEmpty(): boolean;
   find(content: ContentId): CrashCase | undefined;
   list(): readonly CrashCase[];
-  recordCrash(crash: FoundCrash, nowMs: number): CaseChange | undefined;
-  /** The content ran to a whole answer, or an operator says so: its crashes were others' doing. */
+  recordCrash(crash: ContentCrash, nowMs: number): CaseChange | undefined;
+  /** Clears all crashes of a content, because it ran to completion or an operator released it. */
   release(content: ContentId, nowMs: number): CaseChange | undefined;
-  /** The endpoint answered what was sent to it at `sentMs`: it had not crashed before. */
+  /**
+   * Clears crashes of a start that has answered a request sent at `sentMs`, after the recorded
+   * crash.
+   */
   releaseStart(start: EndpointKey, sentMs: number, nowMs: number): CaseChange[];
-  merge(told: ToldCase, nowMs: number): CaseChange | undefined;
-  /** Forgets old cases. */
+  merge(report: ToldCase, nowMs: number): CaseChange | undefined;
+  /** Drops expired cases. */
   advance(nowMs: number): void;
 }
 
-/** Builds a ledger without cases. */
 export function createCaseLedger(): CaseLedger {
   const cases = new Map<ContentId, CrashCase>();
-  /** Which contents each crash speaks against: looked up at every answer while there are cases. */
+  /**
+   * Contents by the start whose crash counts against them; looked up for every answer while there
+   * are cases.
+   */
   const contentsOfStart = new Map<EndpointKey, Set<ContentId>>();
 
-  function countOf(organisation: OrganisationKey): number {
+  function countCases(organisation: OrganisationKey): number {
     return [...cases.values()].filter((other) => other.organisation === organisation).length;
   }
 
@@ -87,15 +96,15 @@
     for (const start of strikes.keys()) removeStart(start, content);
   }
 
-  /** Whoever has the most cases gives way, with the one that says least. */
-  function removeLeast(organisation: OrganisationKey | undefined): void {
-    const [least] = [...cases.values()]
+  /** Evicts the case with the fewest crashes; among equals, the least recently used. */
+  function removeWeakest(organisation: OrganisationKey | undefined): void {
+    const [weakest] = [...cases.values()]
       .filter((other) => organisation === undefined || other.organisation === organisation)
-      .sort((a, b) => a.strikes.size - b.strikes.size || a.seenMs - b.seenMs);
-    if (least !== undefined) removeCase(least);
+      .sort((a, b) => a.strikes.size - b.strikes.size || a.lastActiveMs - b.lastActiveMs);
+    if (weakest !== undefined) removeCase(weakest);
   }
 
-  function findGreediest(): OrganisationKey | undefined {
+  function findLargestOrganisation(): OrganisationKey | undefined {
     const counts = new Map<OrganisationKey, number>();
     for (const { organisation } of cases.values()) {
       counts.set(organisation, (counts.get(organisation) ?? 0) + 1);
@@ -104,10 +113,10 @@
   }
 
   function getCase(content: ContentId, organisation: OrganisationKey, nowMs: number): CrashCase {
-    const known = cases.get(content);
-    if (known !== undefined) return known;
-    if (countOf(organisation) >= ORGANISATION_CASES_MAX) removeLeast(organisation);
-    if (cases.size >= CASES_MAX) removeLeast(findGreediest());
+    const existing = cases.get(content);
+    if (existing !== undefined) return existing;
+    if (countCases(organisation) >= ORGANISATION_CASES_MAX) removeWeakest(organisation);
+    if (cases.size >= CASES_MAX) removeWeakest(findLargestOrganisation());
     const subject: CrashCase = {
       content,
       organisation,
@@ -115,22 +124,22 @@
       cleared: new Set(),
       trial: undefined,
       changedMs: nowMs,
-      seenMs: nowMs,
+      lastActiveMs: nowMs,
     };
     cases.set(content, subject);
     return subject;
   }
 
-  function addStrike({ content, strikes, cleared }: CrashCase, strike: Strike): boolean {
-    const { start } = strike;
-    if (strikes.has(start) || cleared.has(start) || strikes.size >= STRIKES_MAX) return false;
-    strikes.set(start, strike);
+  function addCrash({ content, strikes, cleared }: CrashCase, crash: CrashRecord): boolean {
+    const { start } = crash;
+    if (strikes.has(start) || cleared.has(start) || strikes.size >= CRASHES_MAX) return false;
+    strikes.set(start, crash);
     const contents = contentsOfStart.get(start) ?? new Set();
     contentsOfStart.set(start, contents.add(content));
     return true;
   }
 
-  function releaseStrike({ content, strikes, cleared }: CrashCase, start: EndpointKey): boolean {
+  function releaseCrash({ content, strikes, cleared }: CrashCase, start: EndpointKey): boolean {
     if (strikes.delete(start)) removeStart(start, content);
     if (cleared.has(start)) return false;
     cleared.add(start);
@@ -139,19 +148,20 @@
     return true;
   }
 
-  /** Applies a change and says what it came to; nothing where it brought nothing new. */
+  /** Applies a change; returns undefined if it brought nothing new. */
   function update(subject: CrashCase, nowMs: number, apply: () => boolean): CaseChange | undefined {
     const before = computeStanding(subject);
     if (!apply()) return undefined;
     subject.changedMs = nowMs;
-    subject.seenMs = nowMs;
+    subject.lastActiveMs = nowMs;
     return { subject, before, standing: computeStanding(subject) };
   }
 
   function mergeTrial(subject: CrashCase, { trial }: ToldCase, nowMs: number): void {
     if (trial === undefined) return;
-    const untilMs = nowMs + trial.leftMs;
-    if (untilMs > (subject.trial?.untilMs ?? 0)) subject.trial = { start: trial.start, untilMs };
+    const expiresMs = nowMs + trial.leftMs;
+    if (expiresMs > (subject.trial?.expiresMs ?? 0))
+      subject.trial = { start: trial.start, expiresMs };
   }
 
   return {
@@ -161,33 +171,33 @@
     recordCrash(crash, nowMs) {
       const { content, organisation, start, sentMs, crashedMs } = crash;
       const subject = getCase(content, organisation, nowMs);
-      return update(subject, nowMs, () => addStrike(subject, { start, sentMs, crashedMs }));
+      return update(subject, nowMs, () => addCrash(subject, { start, sentMs, crashedMs }));
     },
     release(content, nowMs) {
       const subject = cases.get(content);
       if (subject === undefined || subject.strikes.size === 0) return undefined;
       const starts = [...subject.strikes.keys()];
       return update(subject, nowMs, () =>
-        starts.map((start) => releaseStrike(subject, start)).some(Boolean),
+        starts.map((start) => releaseCrash(subject, start)).some(Boolean),
       );
     },
     releaseStart(start, sentMs, nowMs) {
       return [...(contentsOfStart.get(start) ?? [])].flatMap((content) => {
         const subject = cases.get(content);
-        const strike = subject?.strikes.get(start);
-        if (subject === undefined || strike === undefined || sentMs <= strike.crashedMs) return [];
-        return update(subject, nowMs, () => releaseStrike(subject, start)) ?? [];
+        const crash = subject?.strikes.get(start);
+        if (subject === undefined || crash === undefined || sentMs <= crash.crashedMs) return [];
+        return update(subject, nowMs, () => releaseCrash(subject, start)) ?? [];
       });
     },
-    merge(told, nowMs) {
-      const isFull = cases.size >= CASES_MAX && !cases.has(told.content);
-      if (isFull && told.strikes.length < TOLD_STRIKES_MIN) return undefined;
-      const subject = getCase(told.content, told.organisation, nowMs);
-      mergeTrial(subject, told, nowMs);
+    merge(report, nowMs) {
+      const isFull = cases.size >= CASES_MAX && !cases.has(report.content);
+      if (isFull && report.strikes.length < REPORTED_CRASHES_MIN) return undefined;
+      const subject = getCase(report.content, report.organisation, nowMs);
+      mergeTrial(subject, report, nowMs);
       return update(subject, nowMs, () => {
-        const cleared = told.cleared.map((start) => releaseStrike(subject, start));
-        const added = told.strikes.map(({ start, sentAgoMs, crashedAgoMs }) =>
-          addStrike(subject, {
+        const cleared = report.cleared.map((start) => releaseCrash(subject, start));
+        const added = report.strikes.map(({ start, sentAgoMs, crashedAgoMs }) =>
+          addCrash(subject, {
             start,
             sentMs: nowMs - sentAgoMs,
             crashedMs: nowMs - crashedAgoMs,
@@ -199,8 +209,8 @@
     advance(nowMs) {
       for (const subject of cases.values()) {
         const isClear = computeStanding(subject) === STANDING.Clear;
-        const lifeMs = isClear ? CLEARED_LIFE_MS : LIFE_MS;
-        if (nowMs - subject.seenMs > lifeMs) removeCase(subject);
+        const retentionMs = isClear ? CLEARED_RETENTION_MS : RETENTION_MS;
+        if (nowMs - subject.lastActiveMs > retentionMs) removeCase(subject);
       }
     },
   };
--- a/src/quarantine/case-news.test.ts
+++ b/src/quarantine/case-propagation.test.ts
@@ -1,4 +1,4 @@
-/** Plays how long what one instance learns of a content is on its way to the last of a fleet. */
+/** Measures in simulation how long a new crash case takes to reach every instance of a fleet. */
 import { ACCEPTANCE } from './crash-detector.js';
 import { createRouteStandings } from '../routes/route-standing.js';
 import { createActor, createVirtualTime } from '../soak/virtual-time.js';
@@ -9,17 +9,17 @@
 import { describe } from '../test/describe.js';
 import { createRandom } from '../utils/random.js';
 
-/** Time for the fleet to find itself, in milliseconds. */
-const SETTLING_MS = 8000;
+/** Time for the instances to discover each other. */
+const DISCOVERY_MS = 8000;
 const SEEDS = [1, 2, 3];
 const STEP_MS = 10;
-/** The shortest time after which an instance in touch has to know, in milliseconds. */
-const CONTACT_MS = 3000;
-/** Part of that time that news may take: the rest is for an engine's end to be seen. */
-const NEWS_SHARE = 0.5;
+/** Time within which every connected instance must know of a crash. */
+const NOTICE_MAX_MS = 3000;
+/** Share of that time allowed for propagation; the rest is for detecting the crash. */
+const PROPAGATION_SHARE = 0.5;
 
-/** How long news of one instance takes to the last of a fleet, in milliseconds. */
-async function runNews(count: number, dataCentres: number, seed: number): Promise<number> {
+/** Milliseconds until the last instance knows a case that one instance found. */
+async function runPropagation(count: number, dataCentres: number, seed: number): Promise<number> {
   const time = createVirtualTime();
   const network = createPlayedNetwork(time, createRandom(seed));
   const contacts = buildContacts(count, dataCentres);
@@ -50,24 +50,23 @@
     });
     return own;
   });
-  await time.runUntil(SETTLING_MS);
+  await time.runUntil(DISCOVERY_MS);
   const strikes = [{ start: 1, sentAgoMs: 500, crashedAgoMs: 0 }];
   instances[seed]?.quarantine.merge(
     [{ content: 'x', organisation: 1, strikes, cleared: [], trial: undefined }],
     'own',
   );
   const isKnown = ({ quarantine }: PlayedInstance): boolean => quarantine.list().length > 0;
-  while (!instances.every(isKnown) && time.getNow() < SETTLING_MS + 10 * CONTACT_MS) {
-    // Each step follows the one before.
+  while (!instances.every(isKnown) && time.getNow() < DISCOVERY_MS + 10 * NOTICE_MAX_MS) {
     // eslint-disable-next-line no-await-in-loop
     await time.runUntil(time.getNow() + STEP_MS);
   }
   timers.forEach((own) => own.stop());
-  return time.getNow() - SETTLING_MS;
+  return time.getNow() - DISCOVERY_MS;
 }
 
-describe('news of a content under which an engine ended', ({ it }) => {
-  // An instance that has not heard sends the same request to the next engine.
+describe('a report of a crash case', ({ it }) => {
+  // Guards against an uninformed instance sending the same request to another endpoint.
   for (const { count, dataCentres } of [
     { count: 7, dataCentres: 3 },
     { count: 70, dataCentres: 3 },
@@ -76,9 +75,9 @@
     it(`reaches the last of ${count} instances in time`, async (t) => {
       for (const seed of SEEDS) {
         // eslint-disable-next-line no-await-in-loop
-        const tookMs = await runNews(count, dataCentres, seed);
+        const tookMs = await runPropagation(count, dataCentres, seed);
         t.log(`seed ${seed}: ${tookMs} ms`);
-        t.true(tookMs <= CONTACT_MS * NEWS_SHARE, `seed ${seed}: ${tookMs} ms`);
+        t.true(tookMs <= NOTICE_MAX_MS * PROPAGATION_SHARE, `seed ${seed}: ${tookMs} ms`);
       }
     });
   }
--- a/src/quarantine/case-rows.test.ts
+++ b/src/quarantine/case-rows.test.ts
@@ -22,44 +22,43 @@
   cleared: new Set(),
   trial: undefined,
   changedMs: 0,
-  seenMs: 0,
+  lastActiveMs: 0,
 };
 
-function createStore(rows: CaseRow[], isAway: () => boolean): CaseStore {
+function createStore(rows: CaseRow[], isDown: () => boolean): CaseStore {
   return {
-    list: () => Promise.resolve(isAway() ? undefined : rows),
+    list: () => Promise.resolve(isDown() ? undefined : rows),
     set(row) {
-      if (!isAway()) rows.push(row);
-      return Promise.resolve(!isAway());
+      if (!isDown()) rows.push(row);
+      return Promise.resolve(!isDown());
     },
     takeTrialLease: () => Promise.resolve(false),
   };
 }
 
 describe('case rows', ({ it }) => {
-  // All instances are restarted at once, and the request that had ended three engines comes again: it
-  // must be refused by instances that have never seen it.
-  it('condemn a content at instances that know nothing', async (t) => {
+  // Guards against forgetting condemned requests when all instances restart at once.
+  it('condemn a content on an instance that has no cases', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
-    const told: ToldCase[] = [];
+    const reports: ToldCase[] = [];
     const rows = createCaseRows({
       store: createStore([ROW], () => false),
       timers,
-      onTold: (one) => told.push(one),
+      onTold: (report) => reports.push(report),
     });
     await time.runUntil(2000);
-    t.deepEqual(told, [], 'an instance that does not follow the source has read it');
+    t.deepEqual(reports, [], 'rows were read by an instance that does not follow the source');
     rows.setReading(true);
     await time.runUntil(4000);
-    t.is(told.length, 1);
+    t.is(reports.length, 1);
     const ledger = createCaseLedger();
-    ledger.merge(told[0] as ToldCase, 4000);
+    ledger.merge(reports[0] as ToldCase, 4000);
     t.is(computeStanding(ledger.find('x') as CrashCase), STANDING.Condemned);
     timers.stop();
   });
 
-  it('are written as soon as the source takes them', async (t) => {
+  it('are written once the store accepts them', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
     const stored: CaseRow[] = [];
@@ -74,9 +73,9 @@
     timers.stop();
   });
 
-  // An operator released a request a day ago. Instances read that row every minute: it must not undo what
-  // they have found since, or the request would end engines for ever, two in each minute.
-  it('release a content from the crashes they name only', async (t) => {
+  // Guards against an old release, which is read again every minute, clearing crashes that were
+  // found after it.
+  it('release a content only from the crashes that they name', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
     const ledger = createCaseLedger();
@@ -89,7 +88,7 @@
     const rows = createCaseRows({
       store: createStore([row], () => false),
       timers,
-      onTold: (one) => ledger.merge(one, time.getNow()),
+      onTold: (report) => ledger.merge(report, time.getNow()),
     });
     rows.setReading(true);
     await time.runUntil(2000);
--- a/src/quarantine/crashing-request.test.ts
+++ b/src/quarantine/crashing-request.test.ts
@@ -1,6 +1,4 @@
-/**
- * Plays of requests that end every engine which begins to run them.
- */
+/** Simulates requests that crash every endpoint which begins to run them. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
 import { runCrashPlay } from '../test/crash-play.js';
@@ -13,14 +11,14 @@
 const ENGINES = 6;
 const LENGTH_MS = 30_000;
 const SEEDS = [1, 2, 3];
-/** Ends of engines after which a request is known for what it is. */
-const ENDS_MAX = 3;
-/** An instance in touch with the others knows of an end within this time, in milliseconds. */
-const CONTACT_MS = 3000;
-/** Times that the request may reach engines after that. */
+/** Crashes after which a request must be condemned. */
+const CRASHES_MAX = 3;
+/** Time within which every connected instance must know of a crash. */
+const NOTICE_MAX_MS = 3000;
+/** Sends that are tolerated after that time. */
 const LATE_SENDS_MAX = 3;
-/** Only what is held for good is told to come back later than this, in milliseconds. */
-const HELD_MS = 60_000;
+/** Only condemned requests get a longer retry delay than this. */
+const CONDEMNED_RETRY_MIN_MS = 60_000;
 
 const ROUTES = buildMixedRoutes({ engines: ENGINES, lookupGapMs: 250, sharedParts: 12 });
 
@@ -34,8 +32,8 @@
   };
 }
 
-/** Moments at which a client tries again, this long apart. */
-function listMoments(periodMs: number, copies: number): number[] {
+/** Times at which a client sends its copies. */
+function listRepeatTimes(periodMs: number, copies: number): number[] {
   const moments: number[] = [];
   for (let atMs = 1000; atMs < LENGTH_MS; atMs += periodMs) {
     for (let copy = 0; copy < copies; copy += 1) moments.push(atMs);
@@ -68,18 +66,18 @@
         content: 'culprit',
         played: buildCulprit(kind),
         isCulprit: true,
-        atMs: listMoments(periodMs, copies),
+        atMs: listRepeatTimes(periodMs, copies),
       },
     ],
     lengthMs: LENGTH_MS,
   };
 }
 
-/** Times that the culprit was sent once instances in touch had to know of the third end. */
+/** Counts sends of the culprit after every connected instance must know of the third crash. */
 function countLateSends({ sends, ends }: CrashPlayRecord): number {
-  const third = ends[ENDS_MAX - 1];
+  const third = ends[CRASHES_MAX - 1];
   if (third === undefined) return 0;
-  return sends.filter(({ atMs }) => atMs > third.atMs + CONTACT_MS).length;
+  return sends.filter(({ atMs }) => atMs > third.atMs + NOTICE_MAX_MS).length;
 }
 
 async function checkLateSends(t: ExecutionContext, repeats: Repeats): Promise<void> {
@@ -87,26 +85,24 @@
   const plays = await Promise.all(SEEDS.map((seed) => runCrashPlay({ ...options, seed })));
   plays.forEach((play, index) => {
     const late = countLateSends(play);
-    const message = `seed ${SEEDS[index]}: sent ${late} times too late, ${play.ends.length} ended`;
-    t.true(play.ends.length >= ENDS_MAX, message);
+    const message = `seed ${SEEDS[index]}: ${late} late sends, ${play.ends.length} endpoints crashed`;
+    t.true(play.ends.length >= CRASHES_MAX, message);
     t.true(late <= LATE_SENDS_MAX, message);
   });
 }
 
-/** How many calls of others are turned away as if they had ended engines. */
-function countInnocentsHeld({ calls }: CrashPlayRecord): number {
+/** Counts calls with other contents that were refused as condemned. */
+function countInnocentRefusals({ calls }: CrashPlayRecord): number {
   return calls.filter(
-    ({ content, retryAfterMs = 0 }) => content !== 'culprit' && retryAfterMs > HELD_MS,
+    ({ content, retryAfterMs = 0 }) =>
+      content !== 'culprit' && retryAfterMs > CONDEMNED_RETRY_MIN_MS,
   ).length;
 }
 
-describe('a request that ends each engine which runs it', ({ it }) => {
-  // Histories fail for ten seconds on end. A client sends one history again and again, each time under a
-  // new id and at another instance; the engine that begins it ends, with the one to sixteen answers it was
-  // giving, and the next engine gets it as if it had never been seen. What was learned of a broken answer
-  // was held against the engine, which came back as a new one, and against that call, which was over.
-  // Proved by this play, where engines end for nothing else: 17 of them, 13 sends too late, until it counted.
-  it('is not sent on when it comes again under new ids', (t) =>
+describe('a request that crashes every endpoint running it', ({ it }) => {
+  // Guards against counting a crash only against the endpoint and the call, so that the same
+  // content under a new id crashes the next endpoint.
+  it('is no longer sent when it is repeated under new ids', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.Stream,
       periodMs: 1800,
@@ -115,9 +111,8 @@
       dataCentres: 3,
     }));
 
-  // The same with a draft that may go on elsewhere: each arrival ended two engines, since the instance
-  // itself took it to the next one.
-  it('is not taken to one engine after the other by second tries', (t) =>
+  // Guards against the instance itself retrying a resumable request on one endpoint after another.
+  it('is not retried on one endpoint after another', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.ResumableStream,
       periodMs: 1800,
@@ -126,9 +121,9 @@
       dataCentres: 3,
     }));
 
-  // Copies come to all instances at one moment. Each instance has its own, and none can have heard of the
-  // others': without one lease in the fleet each would try whether it is the culprit.
-  it('is run once more in the fleet when copies come to every instance at once', (t) =>
+  // Guards against each instance running its own copy before it can hear of the others: one lease
+  // in the fleet must decide.
+  it('runs only once more when copies reach every instance at once', (t) =>
     checkLateSends(t, {
       kind: CALL_KIND.Stream,
       periodMs: 5000,
@@ -137,8 +132,8 @@
       dataCentres: 3,
     }));
 
-  // The way of the news is longest in a large fleet: to a head, to the other heads, to their groups.
-  it('is known to 70 instances in time, also when 20 copies come at once', async (t) => {
+  // Propagation takes longest in a large fleet, where reports pass through several hops.
+  it('is known to 70 instances in time when 20 copies arrive at once', async (t) => {
     const options = buildOptions({
       kind: CALL_KIND.Stream,
       periodMs: 3000,
@@ -147,15 +142,15 @@
       dataCentres: 3,
     });
     const play = await runCrashPlay({ ...options, seed: 1, engines: 42, lengthMs: 15_000 });
-    t.true(countLateSends(play) <= LATE_SENDS_MAX, `sent ${countLateSends(play)} times too late`);
+    t.true(countLateSends(play) <= LATE_SENDS_MAX, `${countLateSends(play)} late sends`);
   });
 });
 
-describe('requests beside one that ends engines', ({ it }) => {
-  // A popular request runs at most engines at any moment, so that it falls with most that end: with
-  // the culprit's, and when three lose power together. It must not be taken for the culprit.
-  it('are not turned away, however often they fall with it', async (t) => {
-    const moments = listMoments(50, 1);
+describe('requests beside one that crashes endpoints', ({ it }) => {
+  // Guards against condemning a popular request, which runs on most endpoints at any time and so is
+  // involved in most crashes.
+  it('are not refused, however often its crashes interrupt them', async (t) => {
+    const moments = listRepeatTimes(50, 1);
     const popular = { content: 'popular', played: ROUTES[0] as PlayedRoute, isCulprit: false };
     const crashes = [5, 9, 13, 17, 21].flatMap((second) =>
       [0, 1, 2].map((engine) => ({ atMs: second * 1000, engine })),
@@ -171,6 +166,6 @@
     const plays = await Promise.all(
       SEEDS.map((seed) => runCrashPlay({ ...options, repeats, crashes, seed })),
     );
-    plays.forEach((play) => t.is(countInnocentsHeld(play), 0));
+    plays.forEach((play) => t.is(countInnocentRefusals(play), 0));
   });
 });
--- a/src/quarantine/organisation-backoff.ts
+++ b/src/quarantine/organisation-backoff.ts
@@ -1,41 +1,39 @@
 /**
- * Bounds what one organisation can do with ever new requests under which endpoints end, free of I/O: each
- * costs up to three endpoints before it is known. It shows as a pool that keeps losing endpoints though
- * every single request is stopped in time. Beyond some such requests the organisation is turned away for a
- * while after each end, twice as long each time, so that the pool recovers in between.
+ * Limits how many endpoints one organisation can crash by sending ever new contents, each of which
+ * costs up to three endpoints before it is condemned. Beyond a few such contents, its calls are
+ * refused after each crash for a time that doubles with every further content. Does no I/O.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { CaseChange } from './case-ledger.js';
 import { STANDING } from './crash-case.js';
 import type { OrganisationKey } from './crash-case.js';
 
-/** Condemned contents that cost an organisation nothing else: one faulty program has a few bodies. */
-const CONDEMNED_FREE = 4;
-/** The first pause, in milliseconds: an endpoint is back after a few. */
+/** Condemned contents without a penalty: one faulty client may produce several. */
+const CONDEMNED_ALLOWANCE = 4;
 const PAUSE_MIN_MS = 1000;
-/** The longest, in milliseconds. */
 const PAUSE_MAX_MS = 30_000;
 
-interface Record {
+interface OrganisationRecord {
   readonly condemned: Set<ContentId>;
-  lastMs: number;
+  lastCrashMs: number;
 }
 
-/** What organisations have done. */
 export interface OrganisationBackoff {
   recordChange(change: CaseChange): void;
-  /** How much longer the organisation is turned away, in milliseconds; 0 where it is not. */
-  computeLeftMs(organisation: OrganisationKey, nowMs: number): number;
+  /**
+   * Time until the organisation's calls are admitted again, in milliseconds; 0 if they are admitted
+   * now.
+   */
+  computeRemainingMs(organisation: OrganisationKey, nowMs: number): number;
 }
 
-/** Builds a record of nothing. */
 export function createOrganisationBackoff(): OrganisationBackoff {
-  const records = new Map<OrganisationKey, Record>();
+  const records = new Map<OrganisationKey, OrganisationRecord>();
 
-  function getRecord(organisation: OrganisationKey): Record {
-    const known = records.get(organisation);
-    if (known !== undefined) return known;
-    const record: Record = { condemned: new Set(), lastMs: -Infinity };
+  function getRecord(organisation: OrganisationKey): OrganisationRecord {
+    const existing = records.get(organisation);
+    if (existing !== undefined) return existing;
+    const record: OrganisationRecord = { condemned: new Set(), lastCrashMs: -Infinity };
     records.set(organisation, record);
     return record;
   }
@@ -46,18 +44,18 @@
       if (standing === STANDING.Condemned) {
         const record = getRecord(organisation);
         record.condemned.add(content);
-        const crashedMs = [...strikes.values()].map((strike) => strike.crashedMs);
-        record.lastMs = Math.max(record.lastMs, ...crashedMs);
+        const crashedMs = [...strikes.values()].map((crash) => crash.crashedMs);
+        record.lastCrashMs = Math.max(record.lastCrashMs, ...crashedMs);
       } else if (before === STANDING.Condemned) {
         records.get(organisation)?.condemned.delete(content);
       }
     },
-    computeLeftMs(organisation, nowMs) {
+    computeRemainingMs(organisation, nowMs) {
       const record = records.get(organisation);
-      if (record === undefined || record.condemned.size <= CONDEMNED_FREE) return 0;
-      const doublings = record.condemned.size - CONDEMNED_FREE - 1;
+      if (record === undefined || record.condemned.size <= CONDEMNED_ALLOWANCE) return 0;
+      const doublings = record.condemned.size - CONDEMNED_ALLOWANCE - 1;
       const pauseMs = Math.min(PAUSE_MAX_MS, PAUSE_MIN_MS * 2 ** doublings);
-      return Math.max(0, record.lastMs + pauseMs - nowMs);
+      return Math.max(0, record.lastCrashMs + pauseMs - nowMs);
     },
   };
 }
