--- a/scripts/check-install.mjs
+++ b/scripts/check-install.mjs
@@ -1,4 +1,4 @@
-/** Exits 0 if node_modules was installed from the present package-lock.json, else 1. */
+/** Exits with 0 if node_modules matches package-lock.json, otherwise with 1. */
 import { existsSync, readFileSync, statSync } from 'node:fs';
 
 const INSTALLED = 'node_modules/.package-lock.json';
--- a/scripts/clean-dist.mjs
+++ b/scripts/clean-dist.mjs
@@ -1,4 +1,4 @@
-/** Removes the build, so that tests of deleted sources never run. */
+/** Removes the build output, so that compiled tests of deleted sources do not run. */
 import { rmSync } from 'node:fs';
 
 rmSync('dist', { recursive: true, force: true });
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,6 +1,6 @@
 /**
- * Runs the tests and closes with `N passed, N failed`, counted from the runner's own TAP output.
- * Tests named in KNOWN-RED.txt may fail; they are printed, and nothing else is passed over.
+ * Runs the tests and ends with `N passed, N failed`, counted from AVA's TAP output.
+ * Failures of tests that KNOWN-RED.txt names are printed but ignored.
  */
 import { spawn } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
