--- a/src/calls/endpoint-connections.ts
+++ b/src/calls/endpoint-connections.ts
@@ -1,48 +1,48 @@
 /**
- * Connections to endpoints by undici, one client for each connection, so that it is known on which
- * connection an exchange runs, whether it was made before the call was written, and how it ended.
+ * HTTP connections to endpoints. Each connection has its own undici client, so that the state of the
+ * connection that carries an exchange is known: whether it was established, and whether it was reset.
  */
 import { Client, buildConnector } from 'undici';
 import type { Dispatcher } from 'undici';
 import type { HeaderField } from './call-messages.js';
 
-/** A connection that is not made within this time counts as not made, in milliseconds: a hundred times a round trip between data centres. A lost opening packet is sent again after a second; another endpoint has answered by then. */
+/** Shorter than the retransmission timeout of a lost SYN: another endpoint is tried instead. */
 const CONNECT_TIMEOUT_MS = 300;
-/** How long an idle connection is kept where the endpoint names no time, in milliseconds. */
-const IDLE_UNSTATED_MS = 1500;
-/** An idle connection is given up this long before the endpoint would close it, in milliseconds: a call on its way must not meet the close. */
-const IDLE_MARGIN_MS = 1000;
-const INFORMATIONAL_MAX = 199;
+/** Idle timeout if the endpoint sends no `Keep-Alive` timeout. */
+const DEFAULT_KEEP_ALIVE_MS = 1500;
+/** Idle connections are closed this much before the endpoint would, to avoid sending into a closing connection. */
+const KEEP_ALIVE_MARGIN_MS = 1000;
+const INFORMATIONAL_STATUS_MAX = 199;
 
-/** One exchange with an endpoint. */
-export interface EndpointExchange {
+/** Request to an endpoint. */
+export interface EndpointRequest {
   readonly method: string;
   readonly target: string;
   readonly headers: readonly HeaderField[];
   readonly body: Buffer;
 }
 
-/** What an exchange reports; `false` closes its connection and ends the reports. */
+/** Receives the response; returning `false` closes the connection and ends the notifications. */
 export interface ExchangeListener {
   onHead(status: number, headers: readonly HeaderField[]): boolean;
   onData(bytes: Buffer): boolean;
   onEnd(): void;
-  /** `isSent`: bytes of the call may have reached the endpoint. */
+  /** `isSent`: bytes of the request may have reached the endpoint. */
   onError(isSent: boolean, reason: string): void;
 }
 
-/** Connections of one instance to all endpoints. */
+/** Connections of this instance to all endpoints. */
 export interface EndpointConnections {
   /** Starts an exchange; the returned function closes its connection. */
   open(
     address: string,
     connectionsMax: number,
-    exchange: EndpointExchange,
+    request: EndpointRequest,
     listener: ExchangeListener,
   ): () => void;
-  /** Closes every connection to an address; exchanges under way there break off. */
+  /** Closes every connection to an address and aborts its exchanges. */
   closeAll(address: string): void;
-  /** Connections made since the start. */
+  /** Number of connections opened since the start. */
   countMade(): number;
   close(): Promise<void>;
 }
@@ -50,9 +50,9 @@
 interface Connection {
   readonly client: Client;
   readonly address: string;
-  isMade: boolean;
+  wasConnected: boolean;
   isBusy: boolean;
-  /** The endpoint reset the connection, or it failed otherwise than by an orderly end. */
+  /** The connection was reset or failed otherwise than by a FIN. */
   wasReset: boolean;
 }
 
@@ -66,16 +66,16 @@
   return fields;
 }
 
-/** Builds connections; none is made before it is needed. */
+/** Creates a pool that opens connections on demand. */
 export function createEndpointConnections(): EndpointConnections {
-  const connectionsOf = new Map<string, Set<Connection>>();
+  const connectionsByAddress = new Map<string, Set<Connection>>();
   const connector = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
-  let made = 0;
+  let openedCount = 0;
 
   function removeConnection(connection: Connection): void {
-    const connections = connectionsOf.get(connection.address);
+    const connections = connectionsByAddress.get(connection.address);
     connections?.delete(connection);
-    if (connections?.size === 0) connectionsOf.delete(connection.address);
+    if (connections?.size === 0) connectionsByAddress.delete(connection.address);
     connection.client.destroy().catch(() => undefined);
   }
 
@@ -83,17 +83,16 @@
     const connection: Connection = {
       client: new Client(`http://${address}`, {
         pipelining: 1,
-        // Silence is judged by the call's life, not by a fixed time here.
+        // The call state machine detects stalled responses.
         headersTimeout: 0,
         bodyTimeout: 0,
-        keepAliveTimeout: IDLE_UNSTATED_MS,
-        keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+        keepAliveTimeout: DEFAULT_KEEP_ALIVE_MS,
+        keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
         connect: (options, callback) => {
           connector(options, (error, socket) => {
-            // Guards against taking a reset for the end of an answer without a length. It shows as a
-            // short answer that looks whole: libuv reports a reset that arrives with the last bytes as
-            // an orderly end. By then the socket has no peer any more, which an orderly end leaves it.
-            // It is looked at before undici sees the end, since the listener is added first.
+            // Guards against a truncated response without a length that looks complete: libuv reports a
+            // reset that arrives with the last bytes as `end`. After a reset the socket has no remote
+            // address. This listener is added first, so it runs before undici handles the end.
             socket?.on('end', () => {
               connection.wasReset ||= socket.remoteAddress === undefined;
             });
@@ -106,105 +105,105 @@
         },
       }),
       address,
-      isMade: false,
+      wasConnected: false,
       isBusy: false,
       wasReset: false,
     };
     connection.client.on('connect', () => {
-      connection.isMade = true;
-      made += 1;
+      connection.wasConnected = true;
+      openedCount += 1;
     });
     connection.client.on('disconnect', () => removeConnection(connection));
-    const connections = connectionsOf.get(address) ?? new Set();
+    const connections = connectionsByAddress.get(address) ?? new Set();
     connections.add(connection);
-    connectionsOf.set(address, connections);
+    connectionsByAddress.set(address, connections);
     return connection;
   }
 
-  /** The connection used last, so that the others run into their idle time. */
-  function findIdle(address: string): Connection | undefined {
-    return [...(connectionsOf.get(address) ?? [])].findLast(({ isBusy }) => !isBusy);
+  /** Returns the most recently added idle connection, so that the others reach their idle timeout. */
+  function findIdleConnection(address: string): Connection | undefined {
+    return [...(connectionsByAddress.get(address) ?? [])].findLast(({ isBusy }) => !isBusy);
   }
 
   function takeConnection(address: string, connectionsMax: number): Connection | undefined {
-    const idle = findIdle(address);
+    const idle = findIdleConnection(address);
     if (idle !== undefined) return idle;
-    if ((connectionsOf.get(address)?.size ?? 0) >= connectionsMax) return undefined;
+    if ((connectionsByAddress.get(address)?.size ?? 0) >= connectionsMax) return undefined;
     return createConnection(address);
   }
 
   function runExchange(
     connection: Connection,
-    exchange: EndpointExchange,
+    request: EndpointRequest,
     listener: ExchangeListener,
   ): () => void {
-    let controllerOf: Dispatcher.DispatchController | undefined;
-    let isOver = false;
+    let requestController: Dispatcher.DispatchController | undefined;
+    let isFinished = false;
     connection.isBusy = true;
 
     function close(): void {
-      isOver = true;
-      controllerOf?.abort(new Error('the exchange is of no more use'));
+      isFinished = true;
+      requestController?.abort(new Error('exchange cancelled'));
       removeConnection(connection);
     }
 
     connection.client.dispatch(
       {
-        method: exchange.method,
-        path: exchange.target,
-        headers: exchange.headers.flatMap(({ name, value }) => [name, value]),
-        body: exchange.body.length === 0 ? null : exchange.body,
+        method: request.method,
+        path: request.target,
+        headers: request.headers.flatMap(({ name, value }) => [name, value]),
+        body: request.body.length === 0 ? null : request.body,
       },
       {
         onRequestStart(controller) {
-          controllerOf = controller;
-          if (isOver) controller.abort(new Error('the exchange is of no more use'));
+          requestController = controller;
+          if (isFinished) controller.abort(new Error('exchange cancelled'));
         },
         onResponseStart(controller, status) {
-          if (isOver || status <= INFORMATIONAL_MAX) return;
+          if (isFinished || status <= INFORMATIONAL_STATUS_MAX) return;
           if (!listener.onHead(status, parseRawHeaders(controller.rawHeaders))) close();
         },
         onResponseData(_, bytes) {
-          if (isOver) return;
+          if (isFinished) return;
           if (!listener.onData(bytes)) close();
         },
         onResponseEnd() {
-          if (isOver) return;
-          isOver = true;
+          if (isFinished) return;
+          isFinished = true;
           connection.isBusy = false;
-          if (connection.wasReset) listener.onError(true, 'the endpoint reset the connection');
+          if (connection.wasReset) listener.onError(true, 'connection reset by the endpoint');
           else listener.onEnd();
         },
         onResponseError(_, error) {
-          if (isOver) return;
-          isOver = true;
-          const { isMade } = connection;
+          if (isFinished) return;
+          isFinished = true;
+          const { wasConnected } = connection;
           removeConnection(connection);
-          listener.onError(isMade, error.message);
+          listener.onError(wasConnected, error.message);
         },
       },
     );
     return () => {
-      if (!isOver) close();
+      if (!isFinished) close();
     };
   }
 
   return {
-    open(address, connectionsMax, exchange, listener) {
+    open(address, connectionsMax, request, listener) {
       const connection = takeConnection(address, connectionsMax);
-      if (connection !== undefined) return runExchange(connection, exchange, listener);
+      if (connection !== undefined) return runExchange(connection, request, listener);
       queueMicrotask(() => listener.onError(false, `all ${connectionsMax} connections are in use`));
       return () => undefined;
     },
     closeAll(address) {
-      for (const connection of [...(connectionsOf.get(address) ?? [])]) {
+      for (const connection of [...(connectionsByAddress.get(address) ?? [])]) {
         removeConnection(connection);
       }
     },
-    countMade: () => made,
+    countMade: () => openedCount,
     async close() {
-      const all = [...connectionsOf.values()].flatMap((connections) => [...connections]);
-      connectionsOf.clear();
+      const all = [...connectionsByAddress.values()].flatMap((connections) => [...connections]);
+      connectionsByAddress.clear();
       await Promise.all(all.map(({ client }) => client.destroy()));
     },
   };
--- a/src/duties/pool-orders.test.ts
+++ b/src/duties/pool-orders.test.ts
@@ -1,9 +1,9 @@
 import type { ScalingBounds } from '../types/traffic.js';
 import { describe } from '../test/describe.js';
-import type { DutyOutcome, PoolOrder } from './duty-calls.js';
-import type { DutyChange, DutyRow, DutyWrite } from './duty-store.js';
-import { createPoolOrders } from './pool-orders.js';
-import type { OrdersMessage, SizedPool } from './pool-orders.js';
+import type { DutyOutcome, ScaleRequest } from './duty-calls.js';
+import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
+import { createPoolScaler } from './pool-orders.js';
+import type { ScalerMessage, SizedPool } from './pool-orders.js';
 
 const SCALING: ScalingBounds = {
   dataCentres: ['a', 'b'],
@@ -13,10 +13,10 @@
   spotPrice: 0.2,
 };
 
-/** A platform that carries out what it is told, at once. */
+/** A platform that carries out each request at once. */
 function createHarness(rows: DutyRow[] = []) {
-  const orders = createPoolOrders();
-  const sent: PoolOrder[] = [];
+  const scaler = createPoolScaler();
+  const sent: ScaleRequest[] = [];
   const counts = new Map<string, number>([
     ['a|false', 10],
     ['b|false', 10],
@@ -25,23 +25,24 @@
   let version = rows[0]?.version ?? 0;
   let nowMs = 0;
 
-  function storeChange({ expected, writes }: DutyChange): DutyWrite {
+  function storeChange({ expected, writes }: DutyChange): DutyWriteResult {
     if (expected[0]?.version !== version) return { kind: 'conflict', rows };
     version += 1;
     rows.splice(0, rows.length, ...writes.map((write) => ({ ...write, version })));
     return { kind: 'written', version };
   }
 
-  function run(message: OrdersMessage): void {
-    for (const command of orders.handle(message, nowMs)) {
+  function run(message: ScalerMessage): void {
+    for (const command of scaler.handle(message, nowMs)) {
       if (command.kind === 'read') run({ kind: 'read', rows });
       else if (command.kind === 'change') {
         run({ kind: 'changed', change: command.change, write: storeChange(command.change) });
       } else {
-        const { order } = command;
-        sent.push(order);
-        if (outcome === 'done') counts.set(`${order.dataCentre}|${order.isSpot}`, order.count);
-        run({ kind: 'sent', order, outcome });
+        const { request } = command;
+        sent.push(request);
+        if (outcome === 'done')
+          counts.set(`${request.dataCentre}|${request.isSpot}`, request.count);
+        run({ kind: 'sent', request, outcome });
       }
     }
   }
@@ -68,7 +69,7 @@
     setOutcome(next: DutyOutcome) {
       outcome = next;
     },
-    /** Passes time, a tick each second. */
+    /** Advances time with one tick per second. */
     advance(seconds: number, knowledgeAgeMs = 0, backlogMs = 0) {
       for (let second = 0; second < seconds; second += 1) {
         nowMs += 1000;
@@ -78,8 +79,8 @@
   };
 }
 
-describe('orders of endpoints', ({ it }) => {
-  it('wait until the pool is known, and settle', (t) => {
+describe('pool scaler', ({ it }) => {
+  it('waits for a stable endpoint count, then converges', (t) => {
     const { sent, counts, advance } = createHarness();
     advance(1);
     t.is(sent.length, 0);
@@ -91,19 +92,19 @@
     t.true(all - (counts.get('a|true') ?? 0) >= 20);
   });
 
-  // Guards against a pool that is ordered up and down with each change of holder.
-  it('are the same under the next holder', (t) => {
+  // Guards against a pool being resized at each change of holder.
+  it('requests the same counts after a change of holder', (t) => {
     const first = createHarness();
     first.advance(30);
     const next = createHarness([...first.rows]);
     for (const [key, count] of first.counts) next.counts.set(key, count);
     next.advance(30);
-    for (const order of next.sent) {
-      t.is(first.counts.get(`${order.dataCentre}|${order.isSpot}`), order.count);
+    for (const request of next.sent) {
+      t.is(first.counts.get(`${request.dataCentre}|${request.isSpot}`), request.count);
     }
   });
 
-  it('are repeated while there is no room, now and then', (t) => {
+  it('retries with a delay while capacity is unavailable', (t) => {
     const { sent, advance, setOutcome } = createHarness();
     setOutcome('unavailable');
     advance(30);
@@ -111,18 +112,18 @@
     t.true(spot.length >= 5 && spot.length <= 12, String(spot.length));
   });
 
-  it('ask again for what was taken back', (t) => {
+  it('requests reclaimed endpoints again', (t) => {
     const { sent, counts, advance } = createHarness();
     advance(30);
     const before = sent.length;
-    const wanted = counts.get('a|true');
+    const requested = counts.get('a|true');
     counts.set('a|true', 0);
     advance(10);
     t.true(sent.length > before);
-    t.is(counts.get('a|true'), wanted);
+    t.is(counts.get('a|true'), requested);
   });
 
-  it('end with the pool’s declaration', (t) => {
+  it('stops when the pool is removed from the configuration', (t) => {
     const { sent, run, setOutcome, advance } = createHarness();
     setOutcome('rejected');
     advance(10);
@@ -134,22 +135,22 @@
     t.is(sent.length, before);
   });
 
-  // Guards against a pool that shrinks because nobody can tell how it is.
-  it('take nothing away on knowledge that is old', (t) => {
+  // Guards against shrinking a pool on outdated information.
+  it('does not scale down on outdated information', (t) => {
     const { counts, advance } = createHarness();
     advance(2);
     advance(30, 60_000);
     t.is(counts.get('a|false'), 10);
   });
 
-  it('grow the pool while prompts wait, and keep it for a while', (t) => {
+  it('grows the pool under backlog and delays scaling down', (t) => {
     const { counts, advance } = createHarness();
     advance(30);
-    const calm = counts.get('a|true') ?? 0;
+    const idle = counts.get('a|true') ?? 0;
     advance(3, 0, 500);
-    const crowded = counts.get('a|true') ?? 0;
-    t.true(crowded > calm, `${crowded} ${calm}`);
+    const loaded = counts.get('a|true') ?? 0;
+    t.true(loaded > idle, `${loaded} ${idle}`);
     advance(20);
-    t.is(counts.get('a|true'), crowded);
+    t.is(counts.get('a|true'), loaded);
   });
 });
--- a/src/duties/pool-sizing.ts
+++ b/src/duties/pool-sizing.ts
@@ -1,91 +1,96 @@
 /**
- * Decides how many endpoints of a pool there are to be in each data centre, free of I/O.
+ * Computes the desired endpoint count of a pool per data centre. Performs no I/O.
  *
- * The load it answers: crowds of two to three times the usual come for a few seconds, and an endpoint that
- * is ordered serves seconds later, with nothing in its memory: what is ordered on proof comes too late. So
- * room is kept ahead, with endpoints that cost a part of the others' price and may be taken back, those of
- * a data centre all at once: so many that any data centre's may go and there is still that room.
+ * New endpoints take seconds to start, and start with empty caches, which is too late for short
+ * load peaks. The pool therefore keeps headroom in cheaper spot capacity, enough to lose that of
+ * any one data centre.
  */
 import type { ScalingBounds } from '../types/traffic.js';
 
-/** The pool is kept this many times as large as declared. */
-const ROOM_FACTOR = 4 / 3;
-/** Part of the pool that is never made of endpoints that may be taken back. */
-const LASTING_SHARE = 0.15;
-/** Where prompts would wait this part of the tightest target to be read, the pool is too small. */
-const BACKLOG_SHARE = 0.25;
-/** The pool grows at one time by this factor at the most. */
-const GROWTH_MAX = 1.5;
-/** Part of the lasting endpoints that is given back at one time at the most. */
-const LOWERING_SHARE = 0.5;
+/** Size of the pool relative to its baseline. */
+const HEADROOM_FACTOR = 4 / 3;
+/** Minimum share of the baseline kept as on-demand endpoints. */
+const ON_DEMAND_SHARE_MIN = 0.15;
+/** The pool grows when prompts wait longer than this share of the tightest latency target. */
+const BACKLOG_TARGET_SHARE = 0.25;
+/** Maximum growth in one step. */
+const GROWTH_FACTOR_MAX = 1.5;
+/** Minimum share of on-demand endpoints kept in one step. */
+const ON_DEMAND_REMAINING_SHARE = 0.5;
 
-/** Endpoints of a pool in one data centre. */
+/** Running endpoints of a pool in one data centre. */
 export interface PoolPresence {
   readonly dataCentre: string;
-  /** Those that take calls: lasting ones, and ones that may be taken back. */
+  /** On-demand endpoints that accept calls; `spot` counts spot endpoints that do. */
   readonly lasting: number;
   readonly spot: number;
 }
 
-/** What is to be there in one data centre. */
+/** Desired endpoints of a pool in one data centre. */
 export interface DesiredCount {
   readonly dataCentre: string;
   readonly lasting: number;
   readonly spot: number;
 }
 
-/** What decides the size of a pool. */
 export interface SizingInput {
   readonly scaling: ScalingBounds;
   readonly present: readonly PoolPresence[];
-  /** Endpoints that there are to be in any case: as many as there were before anything was ordered. */
-  readonly least: number;
-  /** The largest need of the last time. */
-  readonly held: number;
-  /** How long a prompt would wait to be read, in milliseconds; 0 while unknown. */
+  /** Minimum number of endpoints: the count before the first request. */
+  readonly baseline: number;
+  /** Highest count required recently. */
+  readonly peakCount: number;
+  /** Estimated wait of a prompt before it is processed, in milliseconds; 0 if unknown. */
   readonly backlogMs: number;
-  /** The tightest target of the pool's routes, in milliseconds; infinite where there is none. */
+  /** Tightest latency target of the pool's routes, in milliseconds; infinite if there is none. */
   readonly targetMs: number;
 }
 
-function isSpotCheap({ spotPrice }: ScalingBounds): boolean {
+function isSpotCheaper({ spotPrice }: ScalingBounds): boolean {
   return spotPrice !== undefined && spotPrice < 1;
 }
 
-/** How many endpoints the load needs. */
-export function computeNeed(input: SizingInput): number {
-  const { present, least, held, backlogMs, targetMs } = input;
-  const open = present.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
-  const factor = Math.min(GROWTH_MAX, backlogMs / (targetMs * BACKLOG_SHARE));
-  const grown = factor > 1 ? Math.ceil(open * factor) : 0;
-  return Math.max(Math.ceil(least * ROOM_FACTOR), held, grown);
+/** Number of endpoints that the load requires. */
+export function computeRequiredCount(input: SizingInput): number {
+  const { present, baseline, peakCount, backlogMs, targetMs } = input;
+  const runningCount = present.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+  const factor = Math.min(GROWTH_FACTOR_MAX, backlogMs / (targetMs * BACKLOG_TARGET_SHARE));
+  const grown = factor > 1 ? Math.ceil(runningCount * factor) : 0;
+  return Math.max(Math.ceil(baseline * HEADROOM_FACTOR), peakCount, grown);
 }
 
-function computeSpot(need: number, lasting: number, dataCentres: number): number {
-  const rest = Math.max(0, need - lasting * dataCentres);
-  return Math.ceil(rest / Math.max(1, dataCentres - 1));
+function computeSpotPerDataCentre(
+  requiredCount: number,
+  lasting: number,
+  dataCentres: number,
+): number {
+  const remainder = Math.max(0, requiredCount - lasting * dataCentres);
+  return Math.ceil(remainder / Math.max(1, dataCentres - 1));
 }
 
 /**
- * What is to be there; nothing where nothing cheaper is offered: the pool is left as it is. Lasting endpoints go only once enough others take calls, and not all at one time:
- * with them goes what their engines hold in memory.
+ * Empty if spot capacity is not cheaper. On-demand endpoints are removed stepwise, and only once
+ * spot endpoints replace them, because their caches are lost with them.
  */
 export function computeDesired(input: SizingInput): DesiredCount[] {
   const { scaling, present } = input;
   const dataCentres = present.length;
-  if (dataCentres === 0 || !isSpotCheap(scaling)) return [];
-  const base = Math.min(
+  if (dataCentres === 0 || !isSpotCheaper(scaling)) return [];
+  const minOnDemand = Math.min(
     scaling.max,
-    Math.max(scaling.min, Math.ceil((input.least * LASTING_SHARE) / dataCentres)),
+    Math.max(scaling.min, Math.ceil((input.baseline * ON_DEMAND_SHARE_MIN) / dataCentres)),
   );
-  const spot = computeSpot(computeNeed(input), base, dataCentres);
-  const spotNow = present.reduce((sum, each) => sum + each.spot, 0);
-  // Room beyond the least is made of what is cheap, or not at all.
-  const missing = Math.max(0, input.least - spotNow);
-  const wanted = Math.max(base, Math.ceil(missing / dataCentres));
+  const spot = computeSpotPerDataCentre(computeRequiredCount(input), minOnDemand, dataCentres);
+  const runningSpot = present.reduce((sum, each) => sum + each.spot, 0);
+  // Headroom above the baseline consists of spot endpoints only.
+  const shortfall = Math.max(0, input.baseline - runningSpot);
+  const targetOnDemand = Math.max(minOnDemand, Math.ceil(shortfall / dataCentres));
   return present.map((each) => {
-    const floor = Math.floor(each.lasting * LOWERING_SHARE);
-    const lasting = Math.min(scaling.max, Math.max(wanted, Math.min(each.lasting, floor)));
+    const stepDownFloor = Math.floor(each.lasting * ON_DEMAND_REMAINING_SHARE);
+    const lasting = Math.min(
+      scaling.max,
+      Math.max(targetOnDemand, Math.min(each.lasting, stepDownFloor)),
+    );
     return {
       dataCentre: each.dataCentre,
       lasting,
--- a/src/duties/usage-reporter.ts
+++ b/src/duties/usage-reporter.ts
@@ -1,125 +1,124 @@
 /**
- * Reports usage window by window: fixes a window's counts in the store under a condition, before anybody
- * sends them, and sends just what is fixed until it is acknowledged, whoever holds the duty then. Free of
- * I/O.
+ * Reports usage per window. Commits the counts of a window to the store with a conditional write
+ * before sending, then sends the committed counts until they are acknowledged. Performs no I/O.
  *
- * Guards against two different reports of one window, which no one can tell apart afterwards: a holder
- * that dies between its call and the answer leaves behind what it sent, and the next sends the same.
+ * Guards against two different reports for one window: if the holder fails between call and
+ * response, its successor resends the committed report.
  */
 import { assertNever } from '../utils/assert-never.js';
 import type { UsageReport } from './duty-calls.js';
 import { DUTY_KEY, USAGE_PREFIX, findRow } from './duty-store.js';
-import type { DutyChange, DutyRow, DutyWrite } from './duty-store.js';
+import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
 import {
-  decodeThrough,
-  encodeThrough,
+  decodeThroughWindow,
+  encodeThroughWindow,
   formatUsageKey,
   listReports,
   encodeReport,
 } from './usage-rows.js';
 import type { UsageCount } from './usage-ledger.js';
 
-/** A window's counts are fixed no sooner than this after its end, in milliseconds: calls that began in it are still on their way. */
-const CLOSE_MIN_MS = 700;
-/** And no later than this part of the time in which it is due: what is left is for sending. */
-const CLOSE_MAX_SHARE = 0.5;
-/** Windows that are made up for after a time without any holder. */
-const BEHIND_MAX = 12;
-/** Windows that are fixed at one time. */
-const FIXED_AT_ONCE = 4;
-/** A report that was not taken is sent again after this long, in milliseconds. */
-const RESEND_MS = 1500;
-
-/** What a reporter is built on. */
+/**
+ * Minimum delay between the end of a window and its commit, in milliseconds, for counts in flight.
+ */
+const COMMIT_DELAY_MS = 700;
+/** Share of the reporting deadline by which a window is committed even if counts are missing. */
+const COMMIT_DEADLINE_SHARE = 0.5;
+/** Maximum number of past windows reported after a time without a holder. */
+const BACKFILL_WINDOWS_MAX = 12;
+const COMMIT_BATCH_MAX = 4;
+/** Delay before an unacknowledged report is sent again, in milliseconds. */
+const RETRY_DELAY_MS = 1500;
+
 export interface UsageReporterOptions {
-  /** How long a window is, in milliseconds. */
+  /** Length of a window, in milliseconds. */
   readonly windowMs: number;
-  /** How long after its end a window's report is due, in milliseconds. */
+  /** Reporting deadline after the end of a window, in milliseconds. */
   readonly dueMs: number;
   readonly sum: (window: number) => readonly UsageCount[];
-  /** Whether everything that began before a moment of true time is in the sums. */
-  readonly isReached: (trueMs: number) => boolean;
+  /** Whether the sums include every call started before this fleet time. */
+  readonly isComplete: (fleetMs: number) => boolean;
 }
 
-/** What a reporter asks for. */
+/** Requests from the reporter to its caller. */
 export type UsageCommand =
-  /** Read the documents anew. */
   | { readonly kind: 'read' }
   | { readonly kind: 'change'; readonly change: DutyChange }
   | { readonly kind: 'send'; readonly report: UsageReport };
 
-/** What a reporter is told. */
+/** Input to the reporter. */
 export type UsageMessage =
-  /** The holder may act; `trueMs`: undefined while true time is not known. */
-  | { readonly kind: 'tick'; readonly trueMs: number | undefined }
+  /**
+   * Sent while this instance holds the lease; `fleetMs` is undefined while fleet time is unknown.
+   */
+  | { readonly kind: 'tick'; readonly fleetMs: number | undefined }
   | { readonly kind: 'read'; readonly rows: readonly DutyRow[] }
-  | { readonly kind: 'changed'; readonly change: DutyChange; readonly write: DutyWrite }
-  | { readonly kind: 'sent'; readonly window: number; readonly isTaken: boolean }
-  /** This instance is not the holder any more, or not yet again. */
+  | { readonly kind: 'changed'; readonly change: DutyChange; readonly write: DutyWriteResult }
+  | { readonly kind: 'sent'; readonly window: number; readonly isAccepted: boolean }
+  /** This instance does not hold the lease. */
   | { readonly kind: 'lost' };
 
-/** The reporter of one holder. */
+/** Reports usage while this instance holds the lease. */
 export interface UsageReporter {
   handle(message: UsageMessage, nowMs: number): UsageCommand[];
-  /** Windows that are fixed and not taken yet. */
+  /** Number of committed windows that are not acknowledged. */
   countUnsent(): number;
 }
 
-interface Known {
+interface CommittedState {
   readonly throughVersion: number;
-  /** The newest window that is fixed; undefined before the first. */
-  readonly through: number | undefined;
+  /** The newest committed window; undefined before the first commit. */
+  readonly throughWindow: number | undefined;
 }
 
-interface Unsent {
+interface UnsentReport {
   readonly report: UsageReport;
   sentMs: number;
-  isUnderWay: boolean;
+  isInFlight: boolean;
 }
 
-interface Pending {
+interface PendingCommit {
   readonly change: DutyChange;
   readonly reports: readonly UsageReport[];
-  readonly through: number;
+  readonly throughWindow: number;
 }
 
-/** Builds a reporter that has read nothing. */
 export function createUsageReporter(options: UsageReporterOptions): UsageReporter {
   const { windowMs, dueMs } = options;
-  let known: Known | undefined;
+  let committed: CommittedState | undefined;
   let isReading = false;
-  let pending: Pending | undefined;
-  const unsent = new Map<number, Unsent>();
-  /** Documents of reports that were taken; they go with the next change. */
-  let taken: string[] = [];
+  let pending: PendingCommit | undefined;
+  const unsent = new Map<number, UnsentReport>();
+  /** Documents of acknowledged reports, removed with the next change. */
+  let acceptedKeys: string[] = [];
 
-  function removeAll(): void {
-    known = undefined;
+  function removeState(): void {
+    committed = undefined;
     isReading = false;
     pending = undefined;
     unsent.clear();
-    taken = [];
+    acceptedKeys = [];
   }
 
-  function isClosed(window: number, trueMs: number): boolean {
+  function isCommittable(window: number, fleetMs: number): boolean {
     const endMs = (window + 1) * windowMs;
-    if (trueMs < endMs + CLOSE_MIN_MS) return false;
-    return trueMs >= endMs + dueMs * CLOSE_MAX_SHARE || options.isReached(endMs);
+    if (fleetMs < endMs + COMMIT_DELAY_MS) return false;
+    return fleetMs >= endMs + dueMs * COMMIT_DEADLINE_SHARE || options.isComplete(endMs);
   }
 
-  /** Windows whose counts can be fixed now, in order. */
-  function listClosed({ through }: Known, trueMs: number): number[] {
-    const current = Math.floor(trueMs / windowMs);
-    const first = Math.max((through ?? current - 1) + 1, current - BEHIND_MAX);
+  /** Windows that can be committed now, oldest first. */
+  function listCommittable({ throughWindow }: CommittedState, fleetMs: number): number[] {
+    const current = Math.floor(fleetMs / windowMs);
+    const first = Math.max((throughWindow ?? current - 1) + 1, current - BACKFILL_WINDOWS_MAX);
     const windows: number[] = [];
-    for (let window = first; window < current && windows.length < FIXED_AT_ONCE; window += 1) {
-      if (!isClosed(window, trueMs)) break;
+    for (let window = first; window < current && windows.length < COMMIT_BATCH_MAX; window += 1) {
+      if (!isCommittable(window, fleetMs)) break;
       windows.push(window);
     }
     return windows;
   }
 
-  function buildChange(reports: readonly UsageReport[], through: number): DutyChange {
+  function buildChange(reports: readonly UsageReport[], throughWindow: number): DutyChange {
     const writes = reports.flatMap((report) =>
       encodeReport(report).map((text, part) => ({
         key: formatUsageKey(report.window, part),
@@ -127,38 +126,38 @@
       })),
     );
     return {
-      expected: [{ key: DUTY_KEY.UsageThrough, version: known?.throughVersion ?? 0 }],
-      writes: [{ key: DUTY_KEY.UsageThrough, text: encodeThrough(through) }, ...writes],
-      removes: taken.filter((key) => key.startsWith(USAGE_PREFIX)),
+      expected: [{ key: DUTY_KEY.UsageThrough, version: committed?.throughVersion ?? 0 }],
+      writes: [{ key: DUTY_KEY.UsageThrough, text: encodeThroughWindow(throughWindow) }, ...writes],
+      removes: acceptedKeys.filter((key) => key.startsWith(USAGE_PREFIX)),
     };
   }
 
-  function setPending(reports: readonly UsageReport[], through: number): UsageCommand[] {
-    const change = buildChange(reports, through);
-    pending = { change, reports, through };
+  function setPending(reports: readonly UsageReport[], throughWindow: number): UsageCommand[] {
+    const change = buildChange(reports, throughWindow);
+    pending = { change, reports, throughWindow };
     return [{ kind: 'change', change }];
   }
 
-  function postChange(trueMs: number): UsageCommand[] {
-    if (known === undefined || pending !== undefined) return [];
-    const current = Math.floor(trueMs / windowMs);
-    // The first window of all is the one in which the first holder begins.
-    if (known.through === undefined) {
+  function postCommit(fleetMs: number): UsageCommand[] {
+    if (committed === undefined || pending !== undefined) return [];
+    const current = Math.floor(fleetMs / windowMs);
+    // Reporting starts with the window in which the first holder starts.
+    if (committed.throughWindow === undefined) {
       return setPending([], current - 1);
     }
-    const windows = listClosed(known, trueMs);
-    const through = windows.at(-1);
-    if (through === undefined) return [];
+    const windows = listCommittable(committed, fleetMs);
+    const throughWindow = windows.at(-1);
+    if (throughWindow === undefined) return [];
     const reports = windows.map((window) => ({ window, counts: options.sum(window) }));
-    return setPending(reports, through);
+    return setPending(reports, throughWindow);
   }
 
   function sendDue(nowMs: number): UsageCommand[] {
     const due = [...unsent.values()].filter(
-      ({ isUnderWay, sentMs }) => !isUnderWay && nowMs - sentMs >= RESEND_MS,
+      ({ isInFlight, sentMs }) => !isInFlight && nowMs - sentMs >= RETRY_DELAY_MS,
     );
     for (const entry of due) {
-      entry.isUnderWay = true;
+      entry.isInFlight = true;
       entry.sentMs = nowMs;
     }
     return due.map(({ report }) => ({ kind: 'send', report }));
@@ -166,78 +165,78 @@
 
   function addUnsent(reports: readonly UsageReport[]): void {
     for (const report of reports) {
-      const isTaken = taken.includes(formatUsageKey(report.window, 0));
-      if (!isTaken) unsent.set(report.window, { report, sentMs: -Infinity, isUnderWay: false });
+      const isAccepted = acceptedKeys.includes(formatUsageKey(report.window, 0));
+      if (!isAccepted) unsent.set(report.window, { report, sentMs: -Infinity, isInFlight: false });
     }
   }
 
-  function handleTick(trueMs: number | undefined, nowMs: number): UsageCommand[] {
-    if (known === undefined) {
+  function handleTick(fleetMs: number | undefined, nowMs: number): UsageCommand[] {
+    if (committed === undefined) {
       if (isReading) return [];
       isReading = true;
       return [{ kind: 'read' }];
     }
-    return [...(trueMs === undefined ? [] : postChange(trueMs)), ...sendDue(nowMs)];
+    return [...(fleetMs === undefined ? [] : postCommit(fleetMs)), ...sendDue(nowMs)];
   }
 
   function handleRead(rows: readonly DutyRow[], nowMs: number): UsageCommand[] {
     isReading = false;
     const row = findRow(rows, DUTY_KEY.UsageThrough);
-    known = {
+    committed = {
       throughVersion: row?.version ?? 0,
-      through: row === undefined ? undefined : decodeThrough(row.text),
+      throughWindow: row === undefined ? undefined : decodeThroughWindow(row.text),
     };
     addUnsent(listReports(rows));
     return sendDue(nowMs);
   }
 
-  /** An answer to a change of an earlier time as holder says nothing of the one under way. */
+  /** Ignores results of changes made in an earlier term as holder. */
   function handleChanged(
     { change, write }: Extract<UsageMessage, { kind: 'changed' }>,
     nowMs: number,
   ): UsageCommand[] {
     if (pending?.change !== change) return [];
-    const { reports, through } = pending;
+    const { reports, throughWindow } = pending;
     pending = undefined;
     switch (write.kind) {
       case 'written':
-        known = { throughVersion: write.version, through };
-        taken = [];
+        committed = { throughVersion: write.version, throughWindow };
+        acceptedKeys = [];
         addUnsent(reports);
         return sendDue(nowMs);
       case 'conflict':
       case 'lost':
-        // What stands in the store is what counts; another holder, or a late write, was first.
-        known = undefined;
+        // Reads the store again: another holder or a delayed write was first.
+        committed = undefined;
         return [];
       default:
         return assertNever(write);
     }
   }
 
-  function recordSent(window: number, isTaken: boolean): void {
+  function recordSent(window: number, isAccepted: boolean): void {
     const entry = unsent.get(window);
     if (entry === undefined) return;
-    entry.isUnderWay = false;
-    if (!isTaken) return;
+    entry.isInFlight = false;
+    if (!isAccepted) return;
     unsent.delete(window);
-    taken.push(...encodeReport(entry.report).map((_, part) => formatUsageKey(window, part)));
+    acceptedKeys.push(...encodeReport(entry.report).map((_, part) => formatUsageKey(window, part)));
   }
 
   return {
     handle(message, nowMs) {
       switch (message.kind) {
         case 'tick':
-          return handleTick(message.trueMs, nowMs);
+          return handleTick(message.fleetMs, nowMs);
         case 'read':
           return handleRead(message.rows, nowMs);
         case 'changed':
           return handleChanged(message, nowMs);
         case 'sent':
-          recordSent(message.window, message.isTaken);
+          recordSent(message.window, message.isAccepted);
           return [];
         case 'lost':
-          removeAll();
+          removeState();
           return [];
         default:
           return assertNever(message);
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -1,4 +1,4 @@
-/** A gateway's part in the work that one instance does for the fleet. */
+/** Connects a gateway to the duties that one instance performs for the whole fleet. */
 import type { RoutedCall } from '../calls/call-messages.js';
 import type { EndpointDirectory } from '../directory/endpoint-directory.js';
 import type { DutyCalls } from '../duties/duty-calls.js';
@@ -20,13 +20,13 @@
 
 const TICK_MS = 100;
 
-/** What a deployment asks of its instances together. */
+/** Duties of a deployment. */
 export interface DutyOptions {
-  /** How long a holder's lease is, in milliseconds. */
+  /** Duration of the lease under which one instance holds the duties. */
   readonly leaseMs: number;
-  /** The whole fleet starts for the first time. */
+  /** Whether the fleet starts for the first time. */
   readonly isFirstStart: boolean;
-  /** The length of a window of usage and the time after its end at which its report is due, in milliseconds; undefined where nobody wants reports. */
+  /** Length of a usage window and time after its end at which its report is due; undefined if usage is not reported. */
   readonly usage: { readonly windowMs: number; readonly dueMs: number } | undefined;
   readonly ordersPools: boolean;
   readonly store: DutyStore;
@@ -34,7 +34,6 @@
   readonly observer: DutyObserver;
 }
 
-/** What a gateway's part is built on. */
 export interface GatewayDutiesOptions {
   readonly duties: DutyOptions;
   readonly self: string;
@@ -44,20 +43,22 @@
   readonly time: TrueTime;
   readonly loads: EndpointLoads;
   readonly directory: Pick<EndpointDirectory, 'listAll'>;
-  readonly peers: Pick<PeerExchange, 'isKeeper' | 'listKeepers' | 'sendUsage' | 'countInstances'>;
+  readonly peers: Pick<
+    PeerExchange,
+    'isDutyCandidate' | 'listDutyCandidates' | 'sendUsage' | 'countInstances'
+  >;
   readonly getConfiguration: () => TrafficConfiguration | undefined;
   readonly getKnowledgeAge: () => number;
   readonly isLeaving: () => boolean;
 }
 
-/** A gateway's part. */
 export interface GatewayDuties extends FleetDuties {
-  /** An endpoint began a call. */
-  recordBegun(call: RoutedCall, begunMs: number): void;
-  handleUsage(telling: UsageTelling): void;
+  /** Records that an endpoint started a call. */
+  recordStarted(call: RoutedCall, startedMs: number): void;
+  handleUsage(usage: UsageTelling): void;
 }
 
-/** The same feed; every answer tells what the source's clock shows. */
+/** Wraps a feed and records the source's clock from every answer. */
 export function createTimedFeed(
   feed: FeedReader,
   time: TrueTime,
@@ -74,7 +75,6 @@
   };
 }
 
-/** Starts a gateway's part. */
 export function createGatewayDuties(options: GatewayDutiesOptions): GatewayDuties {
   const { duties, timers, time, loads, directory, peers } = options;
   const getNow = (): number => timers.clock.monotonicMs();
@@ -97,18 +97,25 @@
     return [...present].map(([dataCentre, counts]) => ({ dataCentre, ...counts }));
   }
 
-  /** How long a prompt would wait for those before it, if all engines had the same to read. */
+  /** Estimates the queueing time of a prompt, with the unread tokens spread evenly over the engines. */
   function computeBacklogMs(pool: string): number {
-    const open = directory.listAll().filter((each) => each.pool === pool && !each.isLeaving);
+    const openEndpoints = directory
+      .listAll()
+      .filter((endpoint) => endpoint.pool === pool && !endpoint.isLeaving);
     const msPerToken = loads.getPoolPace(pool).reading?.msPerToken ?? 0;
-    const unread = open.reduce((sum, { startId }) => sum + loads.get(startId).unreadTokens, 0);
-    return open.length === 0 ? 0 : (unread * msPerToken) / open.length;
+    const unread = openEndpoints.reduce(
+      (sum, { startId }) => sum + loads.get(startId).unreadTokens,
+      0,
+    );
+    return openEndpoints.length === 0 ? 0 : (unread * msPerToken) / openEndpoints.length;
   }
 
   function computeTargetMs(pool: string): number {
     const routes = options.getConfiguration()?.routes ?? [];
-    const own = routes.filter(({ pools }) => pools.some((each) => each.pool === pool));
-    return Math.min(...own.map(({ targetMs }) => targetMs));
+    const poolRoutes = routes.filter(({ pools }) =>
+      pools.some((weighted) => weighted.pool === pool),
+    );
+    return Math.min(...poolRoutes.map(({ targetMs }) => targetMs));
   }
 
   function buildSizedPool({ name, scaling }: TrafficPool): SizedPool[] {
@@ -124,7 +131,7 @@
     ];
   }
 
-  const fleet = createFleetDuties({
+  const fleetDuties = createFleetDuties({
     self: options.self,
     timers,
     random: options.random,
@@ -137,36 +144,36 @@
     isFirstStart: duties.isFirstStart,
     usage: duties.usage,
     ordersPools: duties.ordersPools,
-    isCandidate: () => peers.isKeeper(),
+    isCandidate: () => peers.isDutyCandidate(),
     isLeaving: options.isLeaving,
     listPools: () => (options.getConfiguration()?.pools ?? []).flatMap(buildSizedPool),
     getKnowledgeAge: options.getKnowledgeAge,
   });
 
-  let keepers: ReadonlySet<string> = new Set();
+  let knownCandidates: ReadonlySet<string> = new Set();
 
-  /** Tells who keeps counts from now on what the others were told before. */
-  function updateKeepers(): void {
-    const names = peers.listKeepers();
-    if (names.some((name) => !keepers.has(name))) meter.addKeeper();
-    keepers = new Set(names);
+  /** Makes the meter send all counts again when a new duty candidate appears. */
+  function updateCandidates(): void {
+    const names = peers.listDutyCandidates();
+    if (names.some((name) => !knownCandidates.has(name))) meter.addKeeper();
+    knownCandidates = new Set(names);
   }
 
   timers.subscribe(TICK_MS, () => {
-    updateKeepers();
-    const telling = meter.advance(getNow());
-    if (telling === undefined) return;
-    peers.sendUsage(telling);
-    if (peers.isKeeper()) meter.merge(telling, getNow());
+    updateCandidates();
+    const usage = meter.advance(getNow());
+    if (usage === undefined) return;
+    peers.sendUsage(usage);
+    if (peers.isDutyCandidate()) meter.merge(usage, getNow());
   });
 
   return {
-    ...fleet,
-    recordBegun({ organisation }, begunMs) {
+    ...fleetDuties,
+    recordStarted({ organisation }, startedMs) {
       if (organisation !== undefined && duties.usage !== undefined) {
-        meter.record(organisation, begunMs);
+        meter.record(organisation, startedMs);
       }
     },
-    handleUsage: (telling) => meter.merge(telling, getNow()),
+    handleUsage: (usage) => meter.merge(usage, getNow()),
   };
 }
--- a/src/leases/lapse-watch.ts
+++ b/src/leases/lapse-watch.ts
@@ -1,31 +1,33 @@
 /**
- * Judges leases of others lapsed, free of I/O: a document that has not changed for its length since this
- * instance first saw it. No clock of another machine is asked, and whoever sees it for the first time waits.
+ * Detects expired leases of other holders. A lease is expired once its document has kept one
+ * version for the lease duration on the local monotonic clock, so clocks of different machines are
+ * never compared. Performs no I/O.
  */
 import { createBoundedMap } from '../utils/bounded-map.js';
 
-/** Documents that are remembered; one that was forgotten counts as seen for the first time. */
-const SEEN_MAX = 1024;
+/** Documents tracked at most; an evicted one counts as first seen again. */
+const OBSERVATIONS_MAX = 1024;
 
-/** Documents as this instance saw them. */
-export interface LapseWatch {
-  /** Whether a document has stood at this version for long enough; `nowMs` is of the monotonic clock. */
+export interface LeaseExpiryTracker {
+  /**
+   * Whether the document has stayed at this version for the lease duration; `nowMs` is on the
+   * monotonic clock.
+   */
   isLapsed(key: string, version: number, nowMs: number): boolean;
 }
 
-interface Seen {
+interface Observation {
   readonly version: number;
-  readonly sinceMs: number;
+  readonly firstSeenMs: number;
 }
 
-/** Builds a watch that has seen nothing. */
-export function createLapseWatch(lengthMs: number): LapseWatch {
-  const seenOf = createBoundedMap<string, Seen>(SEEN_MAX);
+export function createLapseWatch(durationMs: number): LeaseExpiryTracker {
+  const observations = createBoundedMap<string, Observation>(OBSERVATIONS_MAX);
   return {
     isLapsed(key, version, nowMs) {
-      const seen = seenOf.get(key);
-      if (seen?.version === version) return nowMs - seen.sinceMs >= lengthMs;
-      seenOf.set(key, { version, sinceMs: nowMs });
+      const last = observations.get(key);
+      if (last?.version === version) return nowMs - last.firstSeenMs >= durationMs;
+      observations.set(key, { version, firstSeenMs: nowMs });
       return false;
     },
   };
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -7,37 +7,37 @@
 import type { LeaseOptions } from './lease.js';
 
 const STEP_MS = 50;
-/** The first holder has the lease by then, in milliseconds. */
-const SETTLING_MS = 6000;
-/** Schedules in one run; many more by hand, with `LEASE_RUNS`. */
+/** Time by which the first holder has the lease, in milliseconds. */
+const FIRST_TAKEOVER_MS = 6000;
+/** Schedules per run; `LEASE_RUNS` overrides the number. */
 const RUNS = Number(process.env.LEASE_RUNS ?? 1000);
-/** Steps in which nothing happens, for each in which something does. */
-const CALM_STEPS = 12;
+/** Steps without a fault for each step with one. */
+const QUIET_STEPS_PER_FAULT = 12;
 
-/** Nobody removes documents; what is done about one that vanishes has a test of its own. */
-const troubles = Object.values(TROUBLE).filter(
+/** Removal of the document is left out here; a separate test covers it. */
+const faults = Object.values(TROUBLE).filter(
   (trouble) => trouble !== TROUBLE.None && trouble !== TROUBLE.Erase,
 );
 
 const step: fc.Arbitrary<PlayedStep> = fc.record({
   machine: fc.nat(4),
   trouble: fc.oneof(
-    { weight: CALM_STEPS, arbitrary: fc.constant<Trouble>(TROUBLE.None) },
-    { weight: 1, arbitrary: fc.constantFrom(...troubles) },
+    { weight: QUIET_STEPS_PER_FAULT, arbitrary: fc.constant<Trouble>(TROUBLE.None) },
+    { weight: 1, arbitrary: fc.constantFrom(...faults) },
   ),
 });
 
-/** A calm stretch. */
-function buildCalm(ms: number): PlayedStep[] {
+/** Steps without faults. */
+function buildQuietSteps(ms: number): PlayedStep[] {
   return Array.from({ length: ms / STEP_MS }, () => ({ machine: 0, trouble: TROUBLE.None }));
 }
 
-/** Trouble begins once there is a holder. */
+/** Faults begin once there is a holder. */
 const schedule = fc.tuple(
   fc.integer(),
   fc
     .array(step, { minLength: 200, maxLength: 600 })
-    .map((steps) => [...buildCalm(SETTLING_MS), ...steps]),
+    .map((steps) => [...buildQuietSteps(FIRST_TAKEOVER_MS), ...steps]),
 );
 
 function findBreaches(parts?: LeaseParts): string | undefined {
@@ -53,20 +53,21 @@
   return findBreach(runLeasePlay(4, steps, createRandom(seed), parts));
 }
 
-describe('a lease as the called side sees it', ({ describe: block }) => {
-  block('under any trouble', ({ it }) => {
-    // Guards against two holders at one time, one number for two, and a holder that comes back too soon.
-    it('has one holder at a time, with a number that only grows', (t) => {
+describe('lease, as observed by the receiver of calls', ({ describe: block }) => {
+  block('under random faults', ({ it }) => {
+    // Guards against two concurrent holders, a reused fencing token, and a holder that returns too
+    // early.
+    it('has one holder at a time, with increasing fencing tokens', (t) => {
       t.is(findBreaches(), undefined);
     });
   });
 
-  block('without one of its guards', ({ it }) => {
+  block('with one guard disabled', ({ it }) => {
     const createMutant = (change: (options: LeaseOptions) => LeaseOptions): LeaseParts => ({
       createLease: (options) => createLease(change(options)),
     });
 
-    it('is taken over too early', (t) => {
+    it('is taken over too early without the expiry margin', (t) => {
       const parts = createMutant((options) => ({
         ...options,
         bounds: { ...options.bounds, lapseMarginMs: -LENGTH_MS / 3 },
@@ -74,7 +75,7 @@
       t.not(findBreaches(parts), undefined);
     });
 
-    it('is used for too long', (t) => {
+    it('is used after its expiry', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
@@ -90,25 +91,25 @@
       t.not(findBreaches(parts), undefined);
     });
 
-    it('outlives a suspension that the monotonic clock does not count', (t) => {
+    it('survives a suspension that stops the monotonic clock', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
-          const hideWall = ({ monotonicMs }: { monotonicMs: number }) => ({
+          const hideWallClock = ({ monotonicMs }: { monotonicMs: number }) => ({
             monotonicMs,
             wallMs: monotonicMs,
           });
           return {
-            handle: (message, now) => lease.handle(message, hideWall(now)),
-            getGrant: (now) => lease.getGrant(hideWall(now)),
-            getSeen: () => lease.getSeen(),
+            handle: (message, now) => lease.handle(message, hideWallClock(now)),
+            getGrant: (now) => lease.getGrant(hideWallClock(now)),
+            getLastDocument: () => lease.getLastDocument(),
           };
         },
       };
       t.not(findBreaches(parts), undefined);
     });
 
-    it('comes back to a holder that gave it up a moment ago', (t) => {
+    it('returns to a holder that has just released it', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
@@ -126,27 +127,34 @@
       };
       const turns: PlayedStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
         { machine, trouble: TROUBLE.Yield },
-        ...buildCalm(1200),
+        ...buildQuietSteps(1200),
       ]);
       const breaches = Array.from({ length: 200 }, (_, seed) =>
         findBreach(
-          runLeasePlay(2, [...buildCalm(SETTLING_MS), ...turns], createRandom(seed), parts),
+          runLeasePlay(
+            2,
+            [...buildQuietSteps(FIRST_TAKEOVER_MS), ...turns],
+            createRandom(seed),
+            parts,
+          ),
         ),
       );
       t.true(breaches.some((breach) => breach !== undefined));
     });
   });
 
-  block('after its holder is gone', ({ it }) => {
-    /** From the last call of the holder to the first of the next, in milliseconds. */
-    const buildTakeovers = (trouble: Trouble): number[] =>
+  block('after the holder stops', ({ it }) => {
+    /** Time from the last call of a holder to the first call of its successor, in milliseconds. */
+    const listTakeoverTimes = (fault: Trouble): number[] =>
       Array.from({ length: 30 }, (_, seed) => {
-        const holder = runLeasePlay(4, buildCalm(SETTLING_MS), createRandom(seed)).at(-1);
+        const holder = runLeasePlay(4, buildQuietSteps(FIRST_TAKEOVER_MS), createRandom(seed)).at(
+          -1,
+        );
         const machine = Number(holder?.machine.slice(1));
         const steps = [
-          ...buildCalm(SETTLING_MS),
-          { machine, trouble },
-          ...buildCalm(3 * LENGTH_MS),
+          ...buildQuietSteps(FIRST_TAKEOVER_MS),
+          { machine, trouble: fault },
+          ...buildQuietSteps(3 * LENGTH_MS),
         ];
         const calls = runLeasePlay(4, steps, createRandom(seed));
         const last = calls.findLast(({ fence }) => fence === holder?.fence);
@@ -154,25 +162,25 @@
         return (next?.atMs ?? Infinity) - (last?.atMs ?? 0);
       });
 
-    it('is taken over within two lengths of a kill', (t) => {
-      for (const ms of buildTakeovers(TROUBLE.Kill)) t.true(ms < 2 * LENGTH_MS);
+    it('is taken over within two lease durations of a crash', (t) => {
+      for (const ms of listTakeoverTimes(TROUBLE.Kill)) t.true(ms < 2 * LENGTH_MS);
     });
 
-    it('is not taken over while a holder whose document vanished may still act', (t) => {
+    it('is not taken over while the holder of a deleted document may still act', (t) => {
       const steps = [
-        ...buildCalm(SETTLING_MS),
+        ...buildQuietSteps(FIRST_TAKEOVER_MS),
         { machine: 0, trouble: TROUBLE.Erase },
-        ...buildCalm(8000),
+        ...buildQuietSteps(8000),
       ];
       for (let seed = 0; seed < 30; seed += 1) {
         const calls = runLeasePlay(4, steps, createRandom(seed));
         t.is(findBreach(calls), undefined);
-        t.true((calls.at(-1)?.atMs ?? 0) > SETTLING_MS + 6000);
+        t.true((calls.at(-1)?.atMs ?? 0) > FIRST_TAKEOVER_MS + 6000);
       }
     });
 
-    it('is handed over within two renewals of the last call of a holder that leaves', (t) => {
-      for (const ms of buildTakeovers(TROUBLE.Drain)) t.true(ms < (2 * LENGTH_MS) / 3);
+    it('is handed over within two renewal intervals of a graceful shutdown', (t) => {
+      for (const ms of listTakeoverTimes(TROUBLE.Drain)) t.true(ms < (2 * LENGTH_MS) / 3);
     });
   });
 });
--- a/src/quarantine/crash-detector.test.ts
+++ b/src/quarantine/crash-detector.test.ts
@@ -1,9 +1,14 @@
 import { describe } from '../test/describe.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { ACCEPTANCE, createCrashDetector } from './crash-detector.js';
-import type { Acceptance, BrokenAnswer, CrashDetector, EndpointCrash } from './crash-detector.js';
+import type {
+  Acceptance,
+  InterruptedAnswer,
+  CrashDetector,
+  EndpointCrash,
+} from './crash-detector.js';
 
-const ENGINE: RegisteredEndpoint = {
+const ENDPOINT: RegisteredEndpoint = {
   id: 'a',
   startId: 'a@1',
   pool: 'p',
@@ -14,43 +19,42 @@
   isSpot: false,
 };
 
-function buildAnswer(content: string, brokenMs = 0): BrokenAnswer {
-  return { content, organisation: 1, sentMs: 0, brokenMs };
+function buildAnswer(content: string, interruptedMs = 0): InterruptedAnswer {
+  return { content, organisation: 1, sentMs: 0, interruptedMs };
 }
 
-interface Trial {
+interface Setup {
   readonly detector: CrashDetector;
   readonly crashes: EndpointCrash[];
-  countQuestions(): number;
+  countChecks(): number;
 }
 
-function createTrial(acceptance: Acceptance): Trial {
+function createSetup(acceptance: Acceptance): Setup {
   const crashes: EndpointCrash[] = [];
-  let questions = 0;
+  let checks = 0;
   const detector = createCrashDetector({
     checkAcceptance: () => {
-      questions += 1;
+      checks += 1;
       return Promise.resolve(acceptance);
     },
     onCrash: (crash) => crashes.push(crash),
   });
-  return { detector, crashes, countQuestions: () => questions };
+  return { detector, crashes, countChecks: () => checks };
 }
 
-/** Lets what was asked be answered. */
-async function waitForAnswers(): Promise<void> {
+async function waitForPromises(): Promise<void> {
   await new Promise(setImmediate);
 }
 
 describe('crash detector', ({ it }) => {
-  it('names all that broke off at an endpoint that refuses connections, and asks once', async (t) => {
-    const { detector, crashes, countQuestions } = createTrial(ACCEPTANCE.Refused);
-    detector.recordBroken(ENGINE, buildAnswer('x', 0));
-    detector.recordBroken(ENGINE, buildAnswer('y', 1));
-    await waitForAnswers();
+  it('reports all interrupted answers of an endpoint that refuses connections, after one check', async (t) => {
+    const { detector, crashes, countChecks: countQuestions } = createSetup(ACCEPTANCE.Refused);
+    detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
+    detector.recordInterrupted(ENDPOINT, buildAnswer('y', 1));
+    await waitForPromises();
     t.deepEqual(crashes, [
       {
-        endpoint: ENGINE,
+        endpoint: ENDPOINT,
         answers: [buildAnswer('x'), buildAnswer('y', 1)],
         evidence: 'connection refused',
       },
@@ -58,63 +62,62 @@
     t.is(countQuestions(), 1);
   });
 
-  it('blames nothing for connections that were reset', async (t) => {
-    const { detector, crashes } = createTrial(ACCEPTANCE.Accepted);
-    detector.recordBroken(ENGINE, buildAnswer('x', 0));
-    await waitForAnswers();
+  it('reports no crash when the endpoint still accepts connections', async (t) => {
+    const { detector, crashes } = createSetup(ACCEPTANCE.Accepted);
+    detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
+    await waitForPromises();
     t.deepEqual(crashes, []);
   });
 
-  // An engine crashes and is back within milliseconds, or the way to it is cut just then: a new
-  // connection does not show the crash, and the registry names the new start seconds later.
-  it('takes the word of the registry where a connection proved nothing', async (t) => {
-    for (const acceptance of [ACCEPTANCE.Accepted, ACCEPTANCE.Silent]) {
-      const { detector, crashes } = createTrial(acceptance);
-      detector.recordBroken(ENGINE, buildAnswer('x', 0));
+  // Guards against missing a crash that a connection check does not show, because the endpoint
+  // restarted within milliseconds or was unreachable.
+  it('reports a crash from the registry when the connection check proved nothing', async (t) => {
+    for (const acceptance of [ACCEPTANCE.Accepted, ACCEPTANCE.Unreachable]) {
+      const { detector, crashes } = createSetup(acceptance);
+      detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
       // eslint-disable-next-line no-await-in-loop
-      await waitForAnswers();
-      detector.recordEnded(ENGINE);
+      await waitForPromises();
+      detector.recordEnded(ENDPOINT);
       t.deepEqual(crashes, [
-        { endpoint: ENGINE, answers: [buildAnswer('x')], evidence: 'start ended' },
+        { endpoint: ENDPOINT, answers: [buildAnswer('x')], evidence: 'start ended' },
       ]);
     }
   });
 
-  // An engine falls silent under a request instead of closing its connections. Its callers leave after
-  // some seconds; that it had ended shows when the registry misses it.
-  it('takes the word of the registry for answers that were given up in silence', (t) => {
-    const { detector, crashes, countQuestions } = createTrial(ACCEPTANCE.Accepted);
-    detector.recordSilent(ENGINE, buildAnswer('x'));
+  // Guards against missing a crash that left connections open: callers abandon their answers before
+  // the registry reports the crash.
+  it('reports a crash from the registry for answers abandoned after a silence', (t) => {
+    const { detector, crashes, countChecks: countQuestions } = createSetup(ACCEPTANCE.Accepted);
+    detector.recordAbandoned(ENDPOINT, buildAnswer('x'));
     t.is(countQuestions(), 0);
-    detector.recordEnded(ENGINE);
+    detector.recordEnded(ENDPOINT);
     t.deepEqual(crashes, [
-      { endpoint: ENGINE, answers: [buildAnswer('x')], evidence: 'start ended' },
+      { endpoint: ENDPOINT, answers: [buildAnswer('x')], evidence: 'start ended' },
     ]);
   });
 
-  it('blames nothing for an end that was planned, nor long after a connection was lost', async (t) => {
-    const { detector, crashes } = createTrial(ACCEPTANCE.Accepted);
-    detector.recordBroken(ENGINE, buildAnswer('x', 0));
-    await waitForAnswers();
-    detector.recordEnded({ ...ENGINE, isLeaving: true });
-    detector.recordBroken(ENGINE, buildAnswer('x', 0));
-    await waitForAnswers();
+  it('reports no crash for a planned shutdown or long after an interruption', async (t) => {
+    const { detector, crashes } = createSetup(ACCEPTANCE.Accepted);
+    detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
+    await waitForPromises();
+    detector.recordEnded({ ...ENDPOINT, isLeaving: true });
+    detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
+    await waitForPromises();
     detector.advance(10_001);
-    detector.recordEnded(ENGINE);
+    detector.recordEnded(ENDPOINT);
     t.deepEqual(crashes, []);
   });
 
-  // An engine breaks off part of its answers for minutes, and crashes at last: only what broke off a moment
-  // ago can have run then, and what is remembered does not grow.
-  it('forgets answers that broke off long before, while others still do', async (t) => {
-    const { detector, crashes } = createTrial(ACCEPTANCE.Accepted);
+  // Guards against unbounded memory, and against blaming old interruptions for a later crash.
+  it('drops old interrupted answers while new ones arrive', async (t) => {
+    const { detector, crashes } = createSetup(ACCEPTANCE.Accepted);
     for (let second = 0; second <= 60; second += 1) {
-      detector.recordBroken(ENGINE, buildAnswer(`at-${second}`, second * 1000));
+      detector.recordInterrupted(ENDPOINT, buildAnswer(`at-${second}`, second * 1000));
       // eslint-disable-next-line no-await-in-loop
-      await waitForAnswers();
+      await waitForPromises();
       detector.advance(second * 1000);
     }
-    detector.recordEnded(ENGINE);
+    detector.recordEnded(ENDPOINT);
     t.is(crashes[0]?.answers.length, 11);
     t.is(crashes[0]?.answers[0]?.content, 'at-50');
   });
--- a/src/quarantine/crash-detector.ts
+++ b/src/quarantine/crash-detector.ts
@@ -1,133 +1,131 @@
 /**
- * Tells the crash of an endpoint from the loss of a connection to it, free of I/O. An answer that broke
- * off is a doubt: whether the endpoint still accepts connections decides it at once, and the registry's
- * word that this start has ended decides it later.
+ * Distinguishes an endpoint's crash from a lost connection; does no I/O. After an interrupted
+ * answer, a refused connection proves a crash at once; otherwise the registry may report later that
+ * the endpoint's start has ended.
  */
 import type { ContentId } from '../calls/content-id.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import type { OrganisationKey } from './crash-case.js';
 
-/** An answer whose end nothing has explained for this long is no more doubted, in milliseconds: a registry misses three heartbeats sooner. */
-const DOUBT_MAX_MS = 10_000;
+/** Longer than the registry takes to notice three missed heartbeats. */
+const SUSPICION_MAX_MS = 10_000;
 
-/** What a new connection to an endpoint shows. */
+/** Result of opening a connection to an endpoint. */
 export const ACCEPTANCE = {
   Accepted: 'accepted',
-  /** Nobody listens there. */
+  /** Nothing listens on the port. */
   Refused: 'refused',
-  /** No answer: the endpoint or the way to it is gone. */
-  Silent: 'silent',
+  /** No answer: the endpoint or the network path to it is down. */
+  Unreachable: 'silent',
 } as const;
 export type Acceptance = (typeof ACCEPTANCE)[keyof typeof ACCEPTANCE];
 
-/** What proved a crash. */
 export type CrashEvidence = 'connection refused' | 'start ended';
 
-/** An answer that broke off. */
-export interface BrokenAnswer {
+/** An interrupted answer. Times are on the local monotonic clock. */
+export interface InterruptedAnswer {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
-  /** Monotonic moments at which the call was sent and at which its answer broke off. */
   readonly sentMs: number;
-  readonly brokenMs: number;
+  readonly interruptedMs: number;
 }
 
-/** An endpoint that crashed, and what ran there of this instance's calls. */
+/** A crash, with the answers of this instance's calls that it interrupted. */
 export interface EndpointCrash {
   readonly endpoint: RegisteredEndpoint;
-  readonly answers: readonly BrokenAnswer[];
+  readonly answers: readonly InterruptedAnswer[];
   readonly evidence: CrashEvidence;
 }
 
-/** What the detector is built on. */
 export interface CrashDetectorOptions {
-  /** Tries a connection of its own; never rejects. */
+  /** Opens a separate connection; never rejects. */
   readonly checkAcceptance: (address: string) => Promise<Acceptance>;
   readonly onCrash: (crash: EndpointCrash) => void;
 }
 
-/** Finds crashes. */
 export interface CrashDetector {
-  /** An answer of this endpoint, which has not said that it leaves, broke off before it was whole. */
-  recordBroken(endpoint: RegisteredEndpoint, answer: BrokenAnswer): void;
-  /** An answer was given up after a silence: only the registry can say whether the endpoint had crashed. */
-  recordSilent(endpoint: RegisteredEndpoint, answer: BrokenAnswer): void;
-  /** The registry says that this start of the endpoint is over. */
+  /** An answer was interrupted, and the endpoint has not announced that it is leaving. */
+  recordInterrupted(endpoint: RegisteredEndpoint, answer: InterruptedAnswer): void;
+  /** An answer was abandoned after a silence; only the registry can confirm a crash. */
+  recordAbandoned(endpoint: RegisteredEndpoint, answer: InterruptedAnswer): void;
+  /** The registry reports that this start of the endpoint has ended. */
   recordEnded(endpoint: RegisteredEndpoint): void;
-  /** Endpoints that are being asked after an answer with this content broke off there. */
-  countAsked(content: ContentId): number;
-  /** Drops old doubts. */
+  /** Endpoints being checked after an answer with this content was interrupted. */
+  countPendingChecks(content: ContentId): number;
+  /** Drops answers that are too old to be explained by a crash. */
   advance(nowMs: number): void;
 }
 
-interface Doubt {
+interface Suspicion {
   readonly endpoint: RegisteredEndpoint;
-  /** Answers that broke off since the endpoint last accepted a connection. */
-  asked: BrokenAnswer[];
-  /** Those before. */
-  earlier: BrokenAnswer[];
-  isAsking: boolean;
+  /** Answers interrupted since the last connection check. */
+  pending: InterruptedAnswer[];
+  /** Answers interrupted before; only the registry can still confirm a crash. */
+  unconfirmed: InterruptedAnswer[];
+  isChecking: boolean;
 }
 
-/** Builds a detector without doubts. */
 export function createCrashDetector(options: CrashDetectorOptions): CrashDetector {
-  const doubts = new Map<string, Doubt>();
+  const suspicions = new Map<string, Suspicion>();
 
-  function getDoubt(endpoint: RegisteredEndpoint): Doubt {
-    const known = doubts.get(endpoint.startId);
-    if (known !== undefined) return known;
-    const doubt: Doubt = {
+  function getSuspicion(endpoint: RegisteredEndpoint): Suspicion {
+    const existing = suspicions.get(endpoint.startId);
+    if (existing !== undefined) return existing;
+    const suspicion: Suspicion = {
       endpoint,
-      asked: [],
-      earlier: [],
-      isAsking: false,
+      pending: [],
+      unconfirmed: [],
+      isChecking: false,
     };
-    doubts.set(endpoint.startId, doubt);
-    return doubt;
+    suspicions.set(endpoint.startId, suspicion);
+    return suspicion;
   }
 
-  /** Answers that break off while the endpoint is being asked share the question. */
-  async function checkDoubt(doubt: Doubt): Promise<void> {
-    const { endpoint } = doubt;
-    doubt.isAsking = true;
-    const acceptance = await options.checkAcceptance(endpoint.address);
-    doubt.isAsking = false;
-    if (doubts.get(endpoint.startId) !== doubt) return;
-    if (acceptance === ACCEPTANCE.Refused) {
-      doubts.delete(endpoint.startId);
-      options.onCrash({ endpoint, answers: doubt.asked, evidence: 'connection refused' });
+  /** Answers interrupted while a check runs share its result. */
+  async function checkSuspicion(suspicion: Suspicion): Promise<void> {
+    const { endpoint } = suspicion;
+    suspicion.isChecking = true;
+    const result = await options.checkAcceptance(endpoint.address);
+    suspicion.isChecking = false;
+    if (suspicions.get(endpoint.startId) !== suspicion) return;
+    if (result === ACCEPTANCE.Refused) {
+      suspicions.delete(endpoint.startId);
+      options.onCrash({ endpoint, answers: suspicion.pending, evidence: 'connection refused' });
       return;
     }
-    doubt.earlier = [...doubt.earlier, ...doubt.asked];
-    doubt.asked = [];
+    suspicion.unconfirmed = [...suspicion.unconfirmed, ...suspicion.pending];
+    suspicion.pending = [];
   }
 
   return {
-    recordBroken(endpoint, answer) {
-      const doubt = getDoubt(endpoint);
-      doubt.asked.push(answer);
-      if (!doubt.isAsking) checkDoubt(doubt).catch(() => undefined);
+    recordInterrupted(endpoint, answer) {
+      const suspicion = getSuspicion(endpoint);
+      suspicion.pending.push(answer);
+      if (!suspicion.isChecking) checkSuspicion(suspicion).catch(() => undefined);
     },
-    recordSilent(endpoint, answer) {
-      getDoubt(endpoint).earlier.push(answer);
+    recordAbandoned(endpoint, answer) {
+      getSuspicion(endpoint).unconfirmed.push(answer);
     },
     recordEnded({ startId, isLeaving }) {
-      const doubt = doubts.get(startId);
-      doubts.delete(startId);
-      // The end of an endpoint that said it leaves is planned: it says nothing of what ran there.
-      if (doubt === undefined || isLeaving) return;
-      const answers = [...doubt.earlier, ...doubt.asked];
-      options.onCrash({ endpoint: doubt.endpoint, answers, evidence: 'start ended' });
+      const suspicion = suspicions.get(startId);
+      suspicions.delete(startId);
+      // A planned shutdown is no evidence against the contents that ran there.
+      if (suspicion === undefined || isLeaving) return;
+      const answers = [...suspicion.unconfirmed, ...suspicion.pending];
+      options.onCrash({ endpoint: suspicion.endpoint, answers, evidence: 'start ended' });
     },
-    countAsked: (content) =>
-      [...doubts.values()].filter(
-        ({ isAsking, asked }) => isAsking && asked.some((answer) => answer.content === content),
+    countPendingChecks: (content) =>
+      [...suspicions.values()].filter(
+        ({ isChecking, pending }) =>
+          isChecking && pending.some((answer) => answer.content === content),
       ).length,
     advance(nowMs) {
-      for (const [startId, doubt] of doubts) {
-        doubt.earlier = doubt.earlier.filter(({ brokenMs }) => nowMs - brokenMs <= DOUBT_MAX_MS);
-        const isOpen = doubt.isAsking || doubt.earlier.length > 0;
-        if (!isOpen) doubts.delete(startId);
+      for (const [startId, suspicion] of suspicions) {
+        suspicion.unconfirmed = suspicion.unconfirmed.filter(
+          ({ interruptedMs }) => nowMs - interruptedMs <= SUSPICION_MAX_MS,
+        );
+        const isOpen = suspicion.isChecking || suspicion.unconfirmed.length > 0;
+        if (!isOpen) suspicions.delete(startId);
       }
     },
   };
