--- a/src/admission/owner-messages.ts
+++ b/src/admission/owner-messages.ts
@@ -54,5 +54,5 @@
 
 export interface ShardOwner {
   handle(message: OwnerMessage, nowMs: number): AddressedMessage[];
-  list(): ShardView;
+  getView(): ShardView;
 }
--- a/src/admission/shard-map.ts
+++ b/src/admission/shard-map.ts
@@ -1,12 +1,12 @@
 /** Assigns endpoints to shards, and shards to owning instances. */
 import type { Declarations, EndpointDeclaration } from '../types/declarations.js';
 import { chooseRendezvous } from '../utils/hash.js';
-import type { ShardRoute } from './desk-messages.js';
+import type { ShardRoute } from './ticket-client-messages.js';
 
 export const ENDPOINTS_PER_SHARD = 32;
 
 /** An instance that may own shards. */
-export interface LiveEntry {
+export interface LiveInstance {
   readonly name: string;
   readonly dataCentre: string;
 }
@@ -26,7 +26,7 @@
 function chooseOwner(
   shard: string,
   endpoints: readonly EndpointDeclaration[],
-  live: readonly LiveEntry[],
+  live: readonly LiveInstance[],
 ): string {
   const dataCentres = new Set(endpoints.map((endpoint) => endpoint.dataCentre));
   const local = live.filter((instance) => dataCentres.has(instance.dataCentre));
@@ -45,7 +45,7 @@
  * the declarations only, so they are stable across membership changes. Endpoints are grouped by data
  * centre.
  */
-export function buildShards(declarations: Declarations, live: readonly LiveEntry[]): Shard[] {
+export function buildShards(declarations: Declarations, live: readonly LiveInstance[]): Shard[] {
   const shards: Shard[] = [];
   for (const pool of declarations.pools.values()) {
     const ordered = [...pool.endpoints].sort(compareEndpoints);
@@ -59,7 +59,9 @@
 }
 
 /** Groups shards by pool, for the ticket client. */
-export function buildRoutes(shards: readonly Shard[]): ReadonlyMap<string, readonly ShardRoute[]> {
+export function buildShardRoutes(
+  shards: readonly Shard[],
+): ReadonlyMap<string, readonly ShardRoute[]> {
   const routes = new Map<string, ShardRoute[]>();
   for (const shard of shards) {
     const route = { shard: shard.name, owner: shard.owner };
--- a/src/admission/shard-owner.test.ts
+++ b/src/admission/shard-owner.test.ts
@@ -224,9 +224,9 @@
     itInner('frees the slots of an instance that died', (t) => {
       const shard = createOwner(1, 1);
       shard.post('held', 'counter', 0);
-      t.is(shard.owner.list().endpoints[0]?.held, 1);
+      t.is(shard.owner.getView().endpoints[0]?.held, 1);
       shard.owner.handle({ kind: 'member_gone', member: 'entry-1' }, 10);
-      t.is(shard.owner.list().endpoints[0]?.held, 0);
+      t.is(shard.owner.getView().endpoints[0]?.held, 0);
     });
   });
 
@@ -250,7 +250,7 @@
           shard.release(ticketId, round * 500 + 400, SlotEnding.COMPLETED, 10, stepMs);
         }
       }
-      const statuses = shard.owner.list().endpoints.map(({ status }) => status);
+      const statuses = shard.owner.getView().endpoints.map(({ status }) => status);
       t.is(statuses.filter((status) => status === 'straggler').length, 1);
     });
 
@@ -325,7 +325,7 @@
           shard.owner.handle({ kind: 'member_gone', member: 'entry-1' }, nowMs);
         }
       });
-      return shard.owner.list().endpoints.every(({ held, slots }) => held <= slots);
+      return shard.owner.getView().endpoints.every(({ held, slots }) => held <= slots);
     });
     t.notThrows(() => fc.assert(property, { seed: 9, numRuns: 500 }));
   });
--- a/src/admission/shard-owner.ts
+++ b/src/admission/shard-owner.ts
@@ -453,7 +453,7 @@
       grantFreeSlots(nowMs);
       return outbox;
     },
-    list: () => ({
+    getView: () => ({
       shard,
       endpoints: table.list(),
       waiting: Object.fromEntries(
--- a/src/admission/desk-messages.ts
+++ b/src/admission/ticket-client-messages.ts
@@ -21,7 +21,7 @@
   readonly requestedMs: number;
   readonly prefixHash: number;
   readonly preemptible: boolean;
-  readonly excluded: readonly string[];
+  readonly excludedEndpoints: readonly string[];
   readonly isResumed: boolean;
 }
 
@@ -42,7 +42,7 @@
 }
 
 /** Input of the ticket client. */
-export type DeskMessage =
+export type TicketClientMessage =
   | { readonly kind: 'request'; readonly request: SlotRequest }
   | { readonly kind: 'cancel'; readonly ticketId: string }
   | { readonly kind: 'release'; readonly ticketId: string; readonly use: SlotUse }
@@ -66,7 +66,7 @@
   | { readonly kind: 'tick' };
 
 /** Side effects that the caller of the ticket client carries out. */
-export type DeskCommand =
+export type TicketClientCommand =
   | { readonly kind: 'send'; readonly message: AddressedMessage }
   | { readonly kind: 'settle_grant'; readonly grant: HeldGrant }
   | {
--- a/src/admission/ticket-desk.ts
+++ b/src/admission/ticket-client.ts
@@ -8,13 +8,13 @@
 import type { AddressedMessage } from '../types/peer-messages.js';
 import { assertNever } from '../utils/assert-never.js';
 import type {
-  DeskCommand,
-  DeskMessage,
+  TicketClientCommand,
+  TicketClientMessage,
   HeldGrant,
   ShardRoute,
   SlotRequest,
   SlotUse,
-} from './desk-messages.js';
+} from './ticket-client-messages.js';
 import type { Random } from '../utils/random.js';
 import { REFUSAL } from './ticket.js';
 import type { Refusal } from './ticket.js';
@@ -49,19 +49,19 @@
 }
 
 /** The ticket client of one instance. */
-export interface TicketDesk {
-  handle(message: DeskMessage, nowMs: number): DeskCommand[];
+export interface TicketClient {
+  handle(message: TicketClientMessage, nowMs: number): TicketClientCommand[];
   countPending(): number;
   countHeld(): number;
 }
 
 /** Creates a client without routes; they arrive in a `routes` message. */
-export function createTicketDesk(random: Random): TicketDesk {
+export function createTicketClient(random: Random): TicketClient {
   const pending = new Map<string, PendingTicket>();
   const held = new Map<string, GrantedSlot>();
   let routes: ReadonlyMap<string, readonly ShardRoute[]> = new Map();
   let owners = new Map<string, string>();
-  let outbox: DeskCommand[] = [];
+  let outbox: TicketClientCommand[] = [];
 
   function postMessage(to: string, body: AddressedMessage['body']): void {
     outbox.push({ kind: 'send', message: { to, body } });
@@ -84,7 +84,7 @@
       remainingMs: request.expiresMs - nowMs,
       prefixHash: request.prefixHash,
       preemptible: request.preemptible,
-      excludedEndpoints: [...request.excluded],
+      excludedEndpoints: [...request.excludedEndpoints],
       waitedMs: nowMs - request.requestedMs,
       resumed: request.isResumed,
       first: isPrimaryShard,
@@ -200,7 +200,10 @@
     outbox.push({ kind: 'settle_grant', grant });
   }
 
-  function handleRefusal(message: Extract<DeskMessage, { kind: 'refused' }>, nowMs: number): void {
+  function handleRefusal(
+    message: Extract<TicketClientMessage, { kind: 'refused' }>,
+    nowMs: number,
+  ): void {
     const ticket = pending.get(message.ticketId);
     const post = ticket?.posts.get(message.shard);
     if (ticket === undefined || post === undefined) return;
@@ -286,7 +289,7 @@
     }
   }
 
-  function applyMessage(message: DeskMessage, nowMs: number): void {
+  function applyMessage(message: TicketClientMessage, nowMs: number): void {
     switch (message.kind) {
       case 'request':
         handleRequest(message.request, nowMs);
--- a/src/attempts/pace-estimator.ts
+++ b/src/attempts/latency-estimator.ts
@@ -14,27 +14,27 @@
 const SAMPLES_MIN = 10;
 
 /** Latency of one pool. */
-export interface PaceEstimator {
-  recordFirst(ms: number): void;
+export interface LatencyEstimator {
+  recordFirstFrame(ms: number): void;
   recordGap(ms: number): void;
   /** Mean time between frames in milliseconds; 0 while unknown. */
-  getGap(): number;
-  computeFirstBound(): number;
-  computeGapBound(): number;
+  getMeanGap(): number;
+  computeFirstFrameTimeout(): number;
+  computeGapTimeout(): number;
 }
 
-export function createPaceEstimator(): PaceEstimator {
+export function createLatencyEstimator(): LatencyEstimator {
   const firstFrame = createMovingAverage(LATENCY_ALPHA);
   const gap = createMovingAverage(LATENCY_ALPHA);
   return {
-    recordFirst: (ms) => firstFrame.add(ms),
+    recordFirstFrame: (ms) => firstFrame.add(ms),
     recordGap: (ms) => gap.add(ms),
-    getGap: () => gap.get(0),
-    computeFirstBound: () =>
+    getMeanGap: () => gap.get(0),
+    computeFirstFrameTimeout: () =>
       firstFrame.count() < SAMPLES_MIN
         ? DEFAULT_TIMEOUT_MS
         : Math.max(FIRST_FRAME_TIMEOUT_MIN_MS, firstFrame.get(0) * FIRST_FRAME_FACTOR),
-    computeGapBound: () =>
+    computeGapTimeout: () =>
       gap.count() < SAMPLES_MIN
         ? DEFAULT_TIMEOUT_MS
         : Math.max(GAP_TIMEOUT_MIN_MS, gap.get(0) * GAP_FACTOR),
--- a/src/attempts/pool-budgets.ts
+++ b/src/attempts/pool-retry-budgets.ts
@@ -3,12 +3,12 @@
 import type { RetryBounds, SharedRetryBudget } from './shared-retry-budget.js';
 
 /** Retry budgets of one instance. */
-export interface PoolBudgets {
+export interface PoolRetryBudgets {
   get(pool: string): SharedRetryBudget;
 }
 
 /** Creates budgets on first use. `createdMs` is the start of the instance on the monotonic clock. */
-export function createPoolBudgets(bounds: RetryBounds, createdMs: number): PoolBudgets {
+export function createPoolRetryBudgets(bounds: RetryBounds, createdMs: number): PoolRetryBudgets {
   const budgets = new Map<string, SharedRetryBudget>();
   return {
     get(pool) {
--- a/src/attempts/retry-budget.ts
+++ b/src/attempts/retry-budget.ts
@@ -8,7 +8,7 @@
 /** Retry budget of one pool and class. */
 export interface RetryBudget {
   /** Adds to the budget after a successful request. */
-  record(): void;
+  recordSuccess(): void;
   /** Spends one retry; false if none is left. */
   take(): boolean;
   get(): number;
@@ -18,7 +18,7 @@
 export function createRetryBudget(): RetryBudget {
   let remaining = RETRY_CAPACITY;
   return {
-    record() {
+    recordSuccess() {
       remaining = Math.min(RETRY_CAPACITY, remaining + RETRIES_PER_SUCCESS);
     },
     take() {
--- a/src/calls/attempt-reader.test.ts
+++ b/src/calls/attempt-reader.test.ts
@@ -5,7 +5,7 @@
 
 const HEAD: DecodedHead = {
   callId: 'mine',
-  isUnrun: false,
+  isNotRun: false,
   isWrongEndpoint: false,
   isSigned: true,
   isEventStream: false,
@@ -44,7 +44,7 @@
 
   it('reports a rejection even if its body is truncated', (t) => {
     const { reader, ends } = createHarness();
-    t.true(reader.readHead(503, { ...HEAD, isUnrun: true, isSigned: false }));
+    t.true(reader.readHead(503, { ...HEAD, isNotRun: true, isSigned: false }));
     reader.readError(true, 'reset');
     t.deepEqual(ends, [{ kind: 'rejected', isWrongEndpoint: false }]);
   });
--- a/src/calls/attempt-reader.ts
+++ b/src/calls/attempt-reader.ts
@@ -2,7 +2,7 @@
  * Reads the response of one attempt and reports its events and result. Checks that the response belongs
  * to the call, that it is complete, and whether the endpoint ran the call.
  */
-import type { AnswerHead, AttemptEnd, HeaderField } from './call-messages.js';
+import type { ResponseHead, AttemptEnd, HeaderField } from './call-messages.js';
 import { RESPONSE_BYTES_MAX } from './call-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
@@ -12,7 +12,7 @@
   /** Call id in the response; undefined if it has none. */
   readonly callId: string | undefined;
   /** The endpoint reports that it did not run the call. */
-  readonly isUnrun: boolean;
+  readonly isNotRun: boolean;
   /** The address now belongs to another endpoint. */
   readonly isWrongEndpoint: boolean;
   /** The response has the signature header that every endpoint adds. */
@@ -22,7 +22,7 @@
 }
 
 export interface AttemptListener {
-  onStreamStarted(head: AnswerHead): void;
+  onStreamStarted(head: ResponseHead): void;
   onEvent(event: StreamEvent): void;
   /** Called once, last. */
   onEnded(end: AttemptEnd): void;
@@ -49,7 +49,7 @@
   const splitter = createEventSplitter();
   const chunks: Buffer[] = [];
   let bytesRead = 0;
-  let head: AnswerHead | undefined;
+  let head: ResponseHead | undefined;
   let mode: 'none' | 'stream' | 'whole' | 'rejected' | 'ended' = 'none';
   let isWrongEndpoint = false;
 
@@ -85,7 +85,7 @@
         close({ kind: 'broken', reason: 'response has no call id or that of another call' });
         return false;
       }
-      if (decoded.isUnrun || decoded.isWrongEndpoint) {
+      if (decoded.isNotRun || decoded.isWrongEndpoint) {
         mode = 'rejected';
         isWrongEndpoint = decoded.isWrongEndpoint;
         return true;
--- a/src/calls/call-messages.ts
+++ b/src/calls/call-messages.ts
@@ -44,7 +44,7 @@
   /** Undefined on public routes. */
   readonly organisation: string | undefined;
   /** Whether the call was authenticated by a key, which must still be valid when the call is sent. */
-  readonly isKeyed: boolean;
+  readonly isAuthenticated: boolean;
   /** From 0 (most urgent) to 9; derived from the priorities of the route and the organisation. */
   readonly urgency: number;
   readonly prompt: PromptShape | undefined;
@@ -57,7 +57,7 @@
 }
 
 /** Status and headers of an endpoint's response. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: readonly HeaderField[];
 }
@@ -69,7 +69,7 @@
   /** The endpoint reports that it did not run the call: it is full, or is not the intended endpoint. */
   | { readonly kind: 'rejected'; readonly isWrongEndpoint: boolean }
   /** A complete response other than an event stream, with any status. */
-  | { readonly kind: 'answered'; readonly head: AnswerHead; readonly body: Buffer }
+  | { readonly kind: 'answered'; readonly head: ResponseHead; readonly body: Buffer }
   /** The event stream completed. */
   | { readonly kind: 'stream_ended' }
   /** The connection failed or the response is invalid or incomplete; the call may have run. */
@@ -82,7 +82,7 @@
   | { readonly kind: 'unplaced'; readonly failure: RequestFailure }
   /** The requested attempt is being sent to an endpoint; until then it was queued. */
   | { readonly kind: 'dispatched'; readonly attempt: number }
-  | { readonly kind: 'stream_started'; readonly attempt: number; readonly head: AnswerHead }
+  | { readonly kind: 'stream_started'; readonly attempt: number; readonly head: ResponseHead }
   | {
       readonly kind: 'event';
       readonly attempt: number;
@@ -105,20 +105,20 @@
       readonly lastEventId: string | undefined;
     }
   | { readonly kind: 'cancel'; readonly attempt: number; readonly reason: CancelReason }
-  | { readonly kind: 'deliver_head'; readonly head: AnswerHead }
+  | { readonly kind: 'deliver_head'; readonly head: ResponseHead }
   | { readonly kind: 'deliver_event'; readonly bytes: Buffer }
   | { readonly kind: 'deliver_end' }
-  | { readonly kind: 'deliver_answer'; readonly head: AnswerHead; readonly body: Buffer }
+  | { readonly kind: 'deliver_answer'; readonly head: ResponseHead; readonly body: Buffer }
   /** The response is incomplete after part of it was delivered; the caller must be able to detect that. */
   | { readonly kind: 'break_answer'; readonly reason: string }
   | { readonly kind: 'fail'; readonly failure: RequestFailure };
 
 /** Receives the response of a call; every method except `onHead` and `onEvent` is final. */
 export interface CallSink {
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   onEvent(bytes: Buffer): void;
   onEnd(): void;
-  onAnswer(head: AnswerHead, body: Buffer): void;
+  onResponse(head: ResponseHead, body: Buffer): void;
   onBroken(): void;
   onFailure(failure: RequestFailure): void;
 }
--- a/src/calls/call-records.ts
+++ b/src/calls/call-records.ts
@@ -1,5 +1,5 @@
 /** Records of calls and attempts, for logs and metrics. */
-import type { EndpointLoad } from '../placement/told-loads.js';
+import type { EndpointLoad } from '../placement/remote-loads.js';
 import type { StreamRecord } from '../placement/stream-times.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import type { AttemptEnd, CallCommand, RoutedCall } from './call-messages.js';
--- a/src/calls/call-runner.ts
+++ b/src/calls/call-runner.ts
@@ -1,5 +1,5 @@
 /** Executes the commands of call state machines: places attempts, talks to endpoints, delivers responses. */
-import { createPoolBudgets } from '../attempts/pool-budgets.js';
+import { createPoolRetryBudgets } from '../attempts/pool-retry-budgets.js';
 import type { RetryBounds } from '../attempts/shared-retry-budget.js';
 import type { Placement } from '../placement/choose-endpoint.js';
 import { ENDPOINT_VERDICT } from '../placement/endpoint-loads.js';
@@ -54,7 +54,7 @@
   readonly countInstances: () => number;
   readonly quarantine: Pick<Quarantine, 'check' | 'isCondemned' | 'startWatch'>;
   /** An endpoint started the call, at a time of the monotonic clock; called once for each call. */
-  readonly onBegun: (call: RoutedCall, startedMs: number) => void;
+  readonly onStarted: (call: RoutedCall, startedMs: number) => void;
   /** Returns a failure if the call must not be sent now. */
   readonly checkSendable: (call: RoutedCall) => RequestFailure | undefined;
 }
@@ -99,7 +99,7 @@
   let stopTickTimer: Unsubscribe | undefined;
   let stopPlacementTimer: Unsubscribe | undefined;
   const getNow = (): number => timers.clock.monotonicMs();
-  const budgets = createPoolBudgets(options.retryBounds, getNow());
+  const budgets = createPoolRetryBudgets(options.retryBounds, getNow());
 
   function buildWaitingCall({ call }: Run): WaitingCall {
     return {
@@ -113,7 +113,7 @@
   function recordStarted(run: Run, startedMs: number): void {
     if (run.isStarted) return;
     run.isStarted = true;
-    options.onBegun(run.call, startedMs);
+    options.onStarted(run.call, startedMs);
   }
 
   /** A stream counts as started at its first event, any other call when it was sent. */
@@ -264,7 +264,7 @@
         run.sink.onEnd();
         break;
       case 'deliver_answer':
-        run.sink.onAnswer(command.head, command.body);
+        run.sink.onResponse(command.head, command.body);
         break;
       case 'break_answer':
         run.sink.onBroken();
--- a/src/calls/call-state-machine.test.ts
+++ b/src/calls/call-state-machine.test.ts
@@ -5,9 +5,9 @@
 import { OUTCOME } from '../types/outcomes.js';
 import { createCallStateMachine } from './call-state-machine.js';
 import type { CallStateMachine } from './call-state-machine.js';
-import type { AnswerHead, AttemptEnd, CallCommand, CallMessage } from './call-messages.js';
+import type { ResponseHead, AttemptEnd, CallCommand, CallMessage } from './call-messages.js';
 
-const HEAD: AnswerHead = { status: 200, headers: [] };
+const HEAD: ResponseHead = { status: 200, headers: [] };
 const DEADLINE_MS = 5000;
 const FIRST_RESPONSE_TIMEOUT_MS = 600;
 const STREAM_IDLE_TIMEOUT_MS = 800;
--- a/src/calls/call-state-machine.ts
+++ b/src/calls/call-state-machine.ts
@@ -9,7 +9,7 @@
 import type { Failure, RequestFailure } from '../types/outcomes.js';
 import { assertNever } from '../utils/assert-never.js';
 import type {
-  AnswerHead,
+  ResponseHead,
   AttemptEnd,
   CallCommand,
   CallMessage,
@@ -44,7 +44,7 @@
 }
 
 interface EndpointResponse {
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   readonly body: Buffer;
 }
 
@@ -172,7 +172,7 @@
     }
   }
 
-  function handleStreamStart(head: AnswerHead): void {
+  function handleStreamStart(head: ResponseHead): void {
     mayHaveRun = true;
     hasResponseStarted = true;
     // A resumed stream continues under the head of the first response.
--- a/src/calls/endpoint-connections.test.ts
+++ b/src/calls/endpoint-connections.test.ts
@@ -92,7 +92,7 @@
       setTimeout(resolve, 20);
     });
     t.is((await runExchange(connections, getAddress(server))).body, 'ok');
-    t.is(connections.countMade(), 2);
+    t.is(connections.countOpened(), 2);
     await connections.close();
     server.close();
   });
@@ -104,7 +104,7 @@
     const connections = createEndpointConnections();
     await runExchange(connections, getAddress(server));
     await runExchange(connections, getAddress(server));
-    t.is(connections.countMade(), 1);
+    t.is(connections.countOpened(), 1);
     await connections.close();
     server.close();
   });
--- a/src/calls/endpoint-connections.ts
+++ b/src/calls/endpoint-connections.ts
@@ -43,7 +43,7 @@
   /** Closes every connection to an address and aborts its exchanges. */
   closeAll(address: string): void;
   /** Number of connections opened since the start. */
-  countMade(): number;
+  countOpened(): number;
   close(): Promise<void>;
 }
 
@@ -200,7 +200,7 @@
         removeConnection(connection);
       }
     },
-    countMade: () => openedCount,
+    countOpened: () => openedCount,
     async close() {
       const all = [...connectionsByAddress.values()].flatMap((connections) => [...connections]);
       connectionsByAddress.clear();
--- a/src/duties/duty-calls.ts
+++ b/src/duties/duty-calls.ts
@@ -40,5 +40,5 @@
 /** Neither promise rejects. */
 export interface DutyCalls {
   sendUsage(report: UsageReport, guard: CallGuard): Promise<DutyOutcome>;
-  sendOrder(request: ScaleRequest, guard: CallGuard): Promise<DutyOutcome>;
+  sendScaleRequest(request: ScaleRequest, guard: CallGuard): Promise<DutyOutcome>;
 }
--- a/src/duties/duty-observer.ts
+++ b/src/duties/duty-observer.ts
@@ -9,9 +9,9 @@
 
 export interface DutyObserver {
   /** This instance has observed a new holder. */
-  onHolder(holder: DutyHolder): void;
-  onReported(report: UsageReport, outcome: DutyOutcome): void;
-  onOrdered(request: ScaleRequest, outcome: DutyOutcome): void;
+  onHolderChanged(holder: DutyHolder): void;
+  onUsageReported(report: UsageReport, outcome: DutyOutcome): void;
+  onScaleRequested(request: ScaleRequest, outcome: DutyOutcome): void;
   /** An unexpected error occurred. */
-  onFailed(reason: string): void;
+  onError(reason: string): void;
 }
--- a/src/duties/duty-rows.ts
+++ b/src/duties/duty-rows.ts
@@ -1,6 +1,6 @@
 /** Encoding of the lease and epoch documents. */
 import { z } from 'zod';
-import type { LeaseDocument, ReadLease } from '../leases/lease-document.js';
+import type { LeaseDocument, VersionedLease } from '../leases/lease-document.js';
 import { DUTY_KEY, findRow } from './duty-store.js';
 import type { DutyRow } from './duty-store.js';
 
@@ -32,7 +32,7 @@
 };
 
 /** Undefined if there is no lease document. */
-export function decodeLease(rows: readonly DutyRow[]): ReadLease | undefined {
+export function decodeLease(rows: readonly DutyRow[]): VersionedLease | undefined {
   const row = findRow(rows, DUTY_KEY.Lease);
   if (row === undefined) return undefined;
   return { version: row.version, document: parseText(LEASE_SCHEMA, row.text) ?? UNREADABLE_LEASE };
--- a/src/duties/fleet-duties.ts
+++ b/src/duties/fleet-duties.ts
@@ -3,9 +3,9 @@
  * lease; its holder reports usage and requests endpoints.
  */
 import { createLease } from '../leases/lease.js';
-import type { Grant, LeaseCommand, LeaseMessage, Moment } from '../leases/lease.js';
+import type { Grant, LeaseCommand, LeaseMessage, ClockReading } from '../leases/lease.js';
 import type { LeaseDocument } from '../leases/lease-document.js';
-import { resolveLeaseBounds } from '../leases/lease-bounds.js';
+import { computeLeaseTimings } from '../leases/lease-bounds.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import { assertNever } from '../utils/assert-never.js';
 import type { Random } from '../utils/random.js';
@@ -15,9 +15,9 @@
 import { DUTY_KEY, findRow } from './duty-store.js';
 import type { DutySnapshot, DutyStore, DutyWriteResult } from './duty-store.js';
 import { decodeEpoch, decodeLease, encodeEpoch } from './duty-rows.js';
-import { createPoolScaler } from './pool-orders.js';
-import type { ScalerCommand, ScalerMessage, SizedPool } from './pool-orders.js';
-import type { TrueTime } from './true-time.js';
+import { createPoolScaler } from './pool-scaler.js';
+import type { ScalerCommand, ScalerMessage, PoolLoad } from './pool-scaler.js';
+import type { FleetTime } from './true-time.js';
 import type { UsageMeter } from './usage-meter.js';
 import { createUsageReporter } from './usage-reporter.js';
 import type { UsageCommand, UsageMessage } from './usage-reporter.js';
@@ -45,7 +45,7 @@
   readonly store: DutyStore;
   readonly calls: DutyCalls;
   readonly observer: DutyObserver;
-  readonly time: TrueTime;
+  readonly time: FleetTime;
   readonly meter: UsageMeter;
   /** Lease duration, in milliseconds. */
   readonly leaseMs: number;
@@ -56,11 +56,11 @@
    * disables reports.
    */
   readonly usage: { readonly windowMs: number; readonly dueMs: number } | undefined;
-  readonly ordersPools: boolean;
+  readonly isScalingEnabled: boolean;
   /** Whether this instance may compete for the lease. */
   readonly isCandidate: () => boolean;
   readonly isLeaving: () => boolean;
-  readonly listPools: () => readonly SizedPool[];
+  readonly listPools: () => readonly PoolLoad[];
   readonly getKnowledgeAge: () => number;
 }
 
@@ -87,12 +87,12 @@
   const startedMs = timers.clock.wallMs();
   const lease = createLease({
     holder: self,
-    bounds: resolveLeaseBounds(options.leaseMs, options.isFirstStart),
+    timings: computeLeaseTimings(options.leaseMs, options.isFirstStart),
     createWriteId() {
       writeCount += 1;
       return `${self}-${startedMs}-${writeCount}`;
     },
-    drawDelay: () => random.next(),
+    computeJitter: () => random.next(),
   });
   const reporter = createUsageReporter({
     windowMs: options.usage?.windowMs ?? Infinity,
@@ -112,7 +112,7 @@
     { readonly holder: string; readonly fence: number; readonly sinceMs: number } | undefined;
 
   const getNow = (): number => timers.clock.monotonicMs();
-  const readClocks = (): Moment => ({
+  const readClocks = (): ClockReading => ({
     monotonicMs: timers.clock.monotonicMs(),
     wallMs: timers.clock.wallMs(),
   });
@@ -142,7 +142,7 @@
     const { holder, fence, isReleased } = lastDocument;
     if (isReleased || currentHolder?.fence === fence) return;
     currentHolder = { holder, fence, sinceMs: getNow() };
-    observer.onHolder({ holder, fence, isOwn: holder === self });
+    observer.onHolderChanged({ holder, fence, isOwn: holder === self });
   }
 
   function handleLease(message: LeaseMessage): void {
@@ -161,7 +161,7 @@
   async function readRows(): Promise<DutySnapshot | undefined> {
     const rows = await store.read();
     if (rows === undefined) return undefined;
-    time.recordSource(rows.sourceMs, getNow());
+    time.recordSourceTime(rows.sourceMs, getNow());
     const epoch = findRow(rows.rows, DUTY_KEY.Epoch);
     const epochMs = epoch === undefined ? undefined : decodeEpoch(epoch.text);
     if (epochMs !== undefined) time.setEpoch(epochMs);
@@ -177,7 +177,7 @@
 
   function buildWriteResult(
     write: DutyWriteResult,
-  ): Extract<LeaseMessage, { kind: 'written' }>['ending'] {
+  ): Extract<LeaseMessage, { kind: 'written' }>['result'] {
     if (write.kind !== 'conflict') return write;
     return { kind: 'conflict', lease: decodeLease(write.rows) };
   }
@@ -188,7 +188,7 @@
       writes: [{ key: DUTY_KEY.Lease, text: JSON.stringify(document) }],
       removes: [],
     });
-    handleLease({ kind: 'written', writeId: document.writeId, ending: buildWriteResult(write) });
+    handleLease({ kind: 'written', writeId: document.writeId, result: buildWriteResult(write) });
     // Guards against a suspension that neither clock shows: calls start only right after a
     // confirmed write.
     if (write.kind === 'written' && !document.isReleased) advanceDuties();
@@ -208,7 +208,7 @@
   }
 
   function runTask(task: Promise<void>): void {
-    task.catch((error: unknown) => observer.onFailed(String(error)));
+    task.catch((error: unknown) => observer.onError(String(error)));
   }
 
   /** Proposes an epoch; the first proposal stored is final. */
@@ -251,14 +251,14 @@
 
   async function sendReport(report: UsageReport): Promise<void> {
     const outcome = await runCall(() => calls.sendUsage(report, getGrant));
-    observer.onReported(report, outcome);
+    observer.onUsageReported(report, outcome);
     const isAccepted = outcome === DUTY_OUTCOME.Done;
     handleReporter({ kind: 'sent', window: report.window, isAccepted });
   }
 
   async function sendScaleRequest(request: ScaleRequest): Promise<void> {
-    const outcome = await runCall(() => calls.sendOrder(request, getGrant));
-    observer.onOrdered(request, outcome);
+    const outcome = await runCall(() => calls.sendScaleRequest(request, getGrant));
+    observer.onScaleRequested(request, outcome);
     handleScaler({ kind: 'sent', request, outcome });
   }
 
@@ -326,7 +326,7 @@
     if (options.usage !== undefined) {
       handleReporter({ kind: 'tick', fleetMs: time.computeFleetTime(getNow()) });
     }
-    if (!options.ordersPools) return;
+    if (!options.isScalingEnabled) return;
     handleScaler({
       kind: 'tick',
       pools: options.listPools(),
--- a/src/duties/pool-orders.test.ts
+++ b/src/duties/pool-scaler.test.ts
@@ -2,8 +2,8 @@
 import { describe } from '../test/describe.js';
 import type { DutyOutcome, ScaleRequest } from './duty-calls.js';
 import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
-import { createPoolScaler } from './pool-orders.js';
-import type { ScalerMessage, SizedPool } from './pool-orders.js';
+import { createPoolScaler } from './pool-scaler.js';
+import type { ScalerMessage, PoolLoad } from './pool-scaler.js';
 
 const SCALING: ScalingBounds = {
   dataCentres: ['a', 'b'],
@@ -47,11 +47,11 @@
     }
   }
 
-  function buildPool(backlogMs: number): SizedPool {
+  function buildPool(backlogMs: number): PoolLoad {
     return {
       pool: 'p',
       scaling: SCALING,
-      present: ['a', 'b'].map((dataCentre) => ({
+      running: ['a', 'b'].map((dataCentre) => ({
         dataCentre,
         lasting: counts.get(`${dataCentre}|false`) ?? 0,
         spot: counts.get(`${dataCentre}|true`) ?? 0,
@@ -127,7 +127,7 @@
     const { sent, run, setOutcome, advance } = createHarness();
     setOutcome('rejected');
     advance(10);
-    const other = { pool: 'q', scaling: SCALING, present: [], backlogMs: 0, targetMs: 400 };
+    const other = { pool: 'q', scaling: SCALING, running: [], backlogMs: 0, targetMs: 400 };
     run({ kind: 'tick', pools: [other], knowledgeAgeMs: 0 });
     const before = sent.length;
     for (let count = 0; count < 5; count += 1) run({ kind: 'tick', pools: [], knowledgeAgeMs: 0 });
--- a/src/duties/pool-orders.ts
+++ b/src/duties/pool-scaler.ts
@@ -10,7 +10,7 @@
 import { DUTY_KEY, findRow } from './duty-store.js';
 import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
 import { computeDesired, computeRequiredCount } from './pool-sizing.js';
-import type { PoolPresence, SizingInput } from './pool-sizing.js';
+import type { RunningCount, SizingInput } from './pool-sizing.js';
 
 /**
  * A pool is sized once its endpoint count has been stable for this time, in milliseconds, because a
@@ -28,10 +28,10 @@
 const KNOWLEDGE_AGE_MAX_MS = 4000;
 
 /** Load and running endpoints of a pool. */
-export interface SizedPool {
+export interface PoolLoad {
   readonly pool: string;
   readonly scaling: ScalingBounds;
-  readonly present: readonly PoolPresence[];
+  readonly running: readonly RunningCount[];
   readonly backlogMs: number;
   readonly targetMs: number;
 }
@@ -40,7 +40,7 @@
 export type ScalerMessage =
   | {
       readonly kind: 'tick';
-      readonly pools: readonly SizedPool[];
+      readonly pools: readonly PoolLoad[];
       readonly knowledgeAgeMs: number;
     }
   | { readonly kind: 'read'; readonly rows: readonly DutyRow[] }
@@ -91,7 +91,7 @@
   readonly targets: Map<string, Target>;
 }
 
-function countRunning(running: readonly PoolPresence[]): number {
+function countRunning(running: readonly RunningCount[]): number {
   return running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
 }
 
@@ -147,7 +147,7 @@
   }
 
   /** Whether the endpoint count is stable; the first stable count becomes the baseline. */
-  function isStable(state: PoolState, running: readonly PoolPresence[], nowMs: number): boolean {
+  function isStable(state: PoolState, running: readonly RunningCount[], nowMs: number): boolean {
     if (state.baseline !== undefined) return true;
     const count = countRunning(running);
     if (count !== state.lastCount) {
@@ -160,10 +160,10 @@
   }
 
   /** Requests endpoints again that were reclaimed or never started. */
-  function updateAccepted(state: PoolState, { scaling, present }: SizedPool, nowMs: number): void {
+  function updateAccepted(state: PoolState, { scaling, running }: PoolLoad, nowMs: number): void {
     for (const target of state.targets.values()) {
       const { dataCentre, isSpot, count } = target.request;
-      const local = present.find((each) => each.dataCentre === dataCentre);
+      const local = running.find((each) => each.dataCentre === dataCentre);
       const runningCount = (isSpot ? local?.spot : local?.lasting) ?? 0;
       const isOverdue = nowMs - target.answeredMs > scaling.bootMs + BOOT_GRACE_MS;
       if (target.isAccepted && runningCount < count && isOverdue) target.isAccepted = false;
@@ -174,16 +174,16 @@
    * Drops pools that are no longer configured. An empty list means that the configuration is not
    * loaded yet.
    */
-  function removeUndeclared(pools: readonly SizedPool[]): void {
+  function removeUndeclared(pools: readonly PoolLoad[]): void {
     if (pools.length === 0) return;
     const declared = new Set(pools.map(({ pool }) => pool));
     for (const pool of states.keys()) if (!declared.has(pool)) states.delete(pool);
   }
 
-  function updatePool(load: SizedPool, isStale: boolean, nowMs: number): void {
-    const { pool, present } = load;
+  function updatePool(load: PoolLoad, isStale: boolean, nowMs: number): void {
+    const { pool, running } = load;
     const state = getState(pool, nowMs);
-    if (!isStable(state, present, nowMs)) return;
+    if (!isStable(state, running, nowMs)) return;
     updateAccepted(state, load, nowMs);
     const input: SizingInput = { ...load, baseline: state.baseline ?? 0, peakCount: 0 };
     updatePeak(state, computeRequiredCount(input), nowMs);
@@ -241,7 +241,7 @@
     nowMs: number,
   ): ScalerCommand[] {
     if (version === undefined) {
-      for (const { pool, present } of pools) isStable(getState(pool, nowMs), present, nowMs);
+      for (const { pool, running } of pools) isStable(getState(pool, nowMs), running, nowMs);
       if (isReading) return [];
       isReading = true;
       return [{ kind: 'read' }];
--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -2,7 +2,7 @@
 import type { ScalingBounds } from '../types/traffic.js';
 import { describe } from '../test/describe.js';
 import { computeDesired } from './pool-sizing.js';
-import type { PoolPresence, SizingInput } from './pool-sizing.js';
+import type { RunningCount, SizingInput } from './pool-sizing.js';
 
 const SCALING: ScalingBounds = {
   dataCentres: ['a', 'b', 'c'],
@@ -12,14 +12,14 @@
   spotPrice: 0.22,
 };
 
-function buildRunning(lasting: number, spot: number): PoolPresence[] {
+function buildRunning(lasting: number, spot: number): RunningCount[] {
   return SCALING.dataCentres.map((dataCentre) => ({ dataCentre, lasting, spot }));
 }
 
 function buildInput(changes: Partial<SizingInput>): SizingInput {
   return {
     scaling: SCALING,
-    present: buildRunning(14, 0),
+    running: buildRunning(14, 0),
     baseline: 42,
     peakCount: 0,
     backlogMs: 0,
@@ -29,13 +29,13 @@
 }
 
 /** Carries out the desired counts until they no longer change. */
-function runUntilStable(input: SizingInput): readonly PoolPresence[] {
-  let { present } = input;
-  for (let round = 0; round < 20; round += 1) present = computeDesired({ ...input, present });
-  return present;
+function runUntilStable(input: SizingInput): readonly RunningCount[] {
+  let { running } = input;
+  for (let round = 0; round < 20; round += 1) running = computeDesired({ ...input, running });
+  return running;
 }
 
-function countAll(running: readonly PoolPresence[]): number {
+function countAll(running: readonly RunningCount[]): number {
   return running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
 }
 
@@ -48,7 +48,7 @@
       lasting,
       spot: 0,
     }));
-    t.deepEqual(computeDesired(buildInput({ scaling, present: running, backlogMs: 1000 })), []);
+    t.deepEqual(computeDesired(buildInput({ scaling, running, backlogMs: 1000 })), []);
   });
 
   it('keeps on-demand endpoints until spot endpoints replace them', (t) => {
@@ -68,7 +68,7 @@
 
   it('grows with the backlog, by spot endpoints only', (t) => {
     const idle = runUntilStable(buildInput({}));
-    const loaded = computeDesired(buildInput({ present: idle, backlogMs: 400 }));
+    const loaded = computeDesired(buildInput({ running: idle, backlogMs: 400 }));
     t.true(countAll(loaded) > countAll(idle));
     t.deepEqual(
       loaded.map(({ lasting }) => lasting),
@@ -79,7 +79,7 @@
   it('falls back to on-demand endpoints if no spot endpoints start', (t) => {
     const running = runUntilStable(buildInput({}));
     const withoutSpot = computeDesired(
-      buildInput({ present: running.map((p) => ({ ...p, spot: 0 })) }),
+      buildInput({ running: running.map((p) => ({ ...p, spot: 0 })) }),
     );
     t.deepEqual(
       withoutSpot.map(({ lasting }) => lasting),
@@ -97,9 +97,7 @@
       (counts, baseline, backlogMs, spotPrice) => {
         const running = counts.map((each, index) => ({ dataCentre: `d${index}`, ...each }));
         const scaling = { ...SCALING, spotPrice };
-        const desired = computeDesired(
-          buildInput({ present: running, baseline, backlogMs, scaling }),
-        );
+        const desired = computeDesired(buildInput({ running, baseline, backlogMs, scaling }));
         return desired.every(
           ({ lasting, spot }) =>
             Number.isInteger(lasting + spot) &&
--- a/src/duties/pool-sizing.ts
+++ b/src/duties/pool-sizing.ts
@@ -19,7 +19,7 @@
 const ON_DEMAND_REMAINING_SHARE = 0.5;
 
 /** Running endpoints of a pool in one data centre. */
-export interface PoolPresence {
+export interface RunningCount {
   readonly dataCentre: string;
   /** On-demand endpoints that accept calls; `spot` counts spot endpoints that do. */
   readonly lasting: number;
@@ -35,7 +35,7 @@
 
 export interface SizingInput {
   readonly scaling: ScalingBounds;
-  readonly present: readonly PoolPresence[];
+  readonly running: readonly RunningCount[];
   /** Minimum number of endpoints: the count before the first request. */
   readonly baseline: number;
   /** Highest count required recently. */
@@ -52,8 +52,8 @@
 
 /** Number of endpoints that the load requires. */
 export function computeRequiredCount(input: SizingInput): number {
-  const { present, baseline, peakCount, backlogMs, targetMs } = input;
-  const runningCount = present.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+  const { running, baseline, peakCount, backlogMs, targetMs } = input;
+  const runningCount = running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
   const factor = Math.min(GROWTH_FACTOR_MAX, backlogMs / (targetMs * BACKLOG_TARGET_SHARE));
   const grown = factor > 1 ? Math.ceil(runningCount * factor) : 0;
   return Math.max(Math.ceil(baseline * HEADROOM_FACTOR), peakCount, grown);
@@ -73,19 +73,19 @@
  * spot endpoints replace them, because their caches are lost with them.
  */
 export function computeDesired(input: SizingInput): DesiredCount[] {
-  const { scaling, present } = input;
-  const dataCentres = present.length;
+  const { scaling, running } = input;
+  const dataCentres = running.length;
   if (dataCentres === 0 || !isSpotCheaper(scaling)) return [];
   const minOnDemand = Math.min(
     scaling.max,
     Math.max(scaling.min, Math.ceil((input.baseline * ON_DEMAND_SHARE_MIN) / dataCentres)),
   );
   const spot = computeSpotPerDataCentre(computeRequiredCount(input), minOnDemand, dataCentres);
-  const runningSpot = present.reduce((sum, each) => sum + each.spot, 0);
+  const runningSpot = running.reduce((sum, each) => sum + each.spot, 0);
   // Headroom above the baseline consists of spot endpoints only.
   const shortfall = Math.max(0, input.baseline - runningSpot);
   const targetOnDemand = Math.max(minOnDemand, Math.ceil(shortfall / dataCentres));
-  return present.map((each) => {
+  return running.map((each) => {
     const stepDownFloor = Math.floor(each.lasting * ON_DEMAND_REMAINING_SHARE);
     const lasting = Math.min(
       scaling.max,
--- a/src/duties/true-time.ts
+++ b/src/duties/true-time.ts
@@ -14,9 +14,9 @@
 const SPAN_MS = 30_000;
 
 /** Fleet time as sent between peers. */
-export interface ToldTime {
+export interface PeerTime {
   /** Lower bound of the time of sending, in milliseconds since the epoch. */
-  readonly trueMs: number;
+  readonly fleetMs: number;
   /** Number of relays; 0 if the sender follows the source itself. */
   readonly hops: number;
 }
@@ -25,13 +25,13 @@
 export const HOPS_MAX = 3;
 
 /** Fleet time as known to one instance. */
-export interface TrueTime {
+export interface FleetTime {
   /** Records a reading of the source clock; `receivedMs` is on the local monotonic clock. */
-  recordSource(sourceMs: number, receivedMs: number): void;
+  recordSourceTime(sourceMs: number, receivedMs: number): void;
   /** Records a time sent by a peer; `receivedMs` is on the local monotonic clock. */
-  recordTold(peerTime: ToldTime, receivedMs: number): void;
+  recordPeerTime(peerTime: PeerTime, receivedMs: number): void;
   /** The time to send to peers; undefined if it is unknown or has reached the hop limit. */
-  buildTold(monotonicMs: number): ToldTime | undefined;
+  buildPeerTime(monotonicMs: number): PeerTime | undefined;
   /**
    * Sets fleet time at 0 of the source clock, in milliseconds since the epoch; later calls have no
    * effect.
@@ -74,7 +74,7 @@
   };
 }
 
-export function createTrueTime(): TrueTime {
+export function createFleetTime(): FleetTime {
   const source = createOffset();
   /** By hop count of the sender. */
   const peers = Array.from({ length: HOPS_MAX }, createOffset);
@@ -91,13 +91,13 @@
   }
 
   return {
-    recordSource: (sourceMs, receivedMs) => source.record(sourceMs, receivedMs),
-    recordTold({ trueMs, hops }, receivedMs) {
-      peers[hops]?.record(trueMs, receivedMs);
+    recordSourceTime: (sourceMs, receivedMs) => source.record(sourceMs, receivedMs),
+    recordPeerTime({ fleetMs, hops }, receivedMs) {
+      peers[hops]?.record(fleetMs, receivedMs);
     },
-    buildTold(monotonicMs) {
+    buildPeerTime(monotonicMs) {
       const { offsetMs, hops } = getNearest(monotonicMs);
-      return hops < HOPS_MAX ? { trueMs: monotonicMs + offsetMs, hops } : undefined;
+      return hops < HOPS_MAX ? { fleetMs: monotonicMs + offsetMs, hops } : undefined;
     },
     setEpoch(epochMs) {
       epoch ??= epochMs;
--- a/src/duties/usage-ledger.ts
+++ b/src/duties/usage-ledger.ts
@@ -14,7 +14,7 @@
 }
 
 /** Counts of one source in one window. */
-export interface UsageShare {
+export interface WindowCounts {
   readonly window: number;
   readonly counts: readonly UsageCount[];
 }
@@ -23,8 +23,8 @@
 export interface UsageLedger {
   add(source: string, window: number, organisation: string): void;
   /** Merges counts received from a source by taking the maximum of each. */
-  merge(source: string, windowCounts: UsageShare): void;
-  listBySource(source: string): UsageShare[];
+  merge(source: string, windowCounts: WindowCounts): void;
+  listBySource(source: string): WindowCounts[];
   /** Sums over all sources, sorted by organisation. */
   sum(window: number): UsageCount[];
 }
--- a/src/duties/usage-meter.test.ts
+++ b/src/duties/usage-meter.test.ts
@@ -1,14 +1,14 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
-import { createTrueTime } from './true-time.js';
+import { createFleetTime } from './true-time.js';
 import { createUsageLedger } from './usage-ledger.js';
 import { createUsageMeter } from './usage-meter.js';
-import type { UsageTelling } from './usage-meter.js';
+import type { UsageUpdate } from './usage-meter.js';
 
 const WINDOW_MS = 5000;
 
 function createHarness(instance: string, incarnation = 1) {
-  const time = createTrueTime();
+  const time = createFleetTime();
   const meter = createUsageMeter({
     source: { instance, incarnation },
     windowMs: WINDOW_MS,
@@ -16,7 +16,7 @@
     countInstances: () => 3,
   });
   const start = (): void => {
-    time.recordSource(0, 0);
+    time.recordSourceTime(0, 0);
     time.setEpoch(0);
   };
   return { meter, start };
@@ -28,7 +28,7 @@
   fromMs: number,
   toMs: number,
 ) {
-  const updates: UsageTelling[] = [];
+  const updates: UsageUpdate[] = [];
   for (let nowMs = fromMs; nowMs < toMs; nowMs += 100) {
     const update = meter.advance(nowMs);
     if (update !== undefined) updates.push(update);
@@ -70,8 +70,8 @@
     meter.record('x', 4990);
     meter.record('x', 5010);
     const updates = listUpdates(meter, 5100, 8000);
-    t.is(updates.filter(({ shares }) => shares.length > 0).length, 3);
-    t.deepEqual(updates[0]?.shares, [
+    t.is(updates.filter(({ windows }) => windows.length > 0).length, 3);
+    t.deepEqual(updates[0]?.windows, [
       { window: 0, counts: [{ organisation: 'x', count: 1 }] },
       { window: 1, counts: [{ organisation: 'x', count: 1 }] },
     ]);
@@ -84,7 +84,7 @@
     meter.record('x', 10);
     listUpdates(meter, 100, 4000);
     meter.record('y', 4100);
-    t.deepEqual(listUpdates(meter, 4200, 4700)[0]?.shares, [
+    t.deepEqual(listUpdates(meter, 4200, 4700)[0]?.windows, [
       { window: 0, counts: [{ organisation: 'y', count: 1 }] },
     ]);
   });
@@ -96,7 +96,7 @@
     meter.record('x', 10);
     meter.record('y', 5010);
     listUpdates(meter, 5100, 9000);
-    meter.addKeeper();
+    meter.postAll();
     const aggregator = createHarness('b').meter;
     for (const update of listUpdates(meter, 9100, 10_000)) aggregator.merge(update, 10_000);
     t.deepEqual(aggregator.sum(0), [{ organisation: 'x', count: 1 }]);
@@ -108,7 +108,7 @@
     meter.record('x', 10);
     t.is(meter.advance(20), undefined);
     start();
-    t.deepEqual(meter.advance(30)?.shares, [
+    t.deepEqual(meter.advance(30)?.windows, [
       { window: 0, counts: [{ organisation: 'x', count: 1 }] },
     ]);
   });
@@ -127,11 +127,11 @@
 
   it('is complete once all active sources have passed the given time', (t) => {
     const aggregator = createHarness('a').meter;
-    const shares: UsageTelling['shares'] = [];
+    const windows: UsageUpdate['windows'] = [];
     const source = { instance: 'b', incarnation: 1 };
-    aggregator.merge({ source, reachedMs: 4900, shares }, 4900);
+    aggregator.merge({ source, watermarkMs: 4900, windows }, 4900);
     t.false(aggregator.isComplete(5000, 4950));
-    aggregator.merge({ source, reachedMs: 5100, shares }, 5100);
+    aggregator.merge({ source, watermarkMs: 5100, windows }, 5100);
     t.true(aggregator.isComplete(5000, 5150));
     t.false(aggregator.isComplete(10_000, 10_000));
     // A silent instance is ignored after a timeout.
--- a/src/duties/usage-meter.ts
+++ b/src/duties/usage-meter.ts
@@ -5,9 +5,9 @@
  * Each update contains only counts that changed. Each change is sent several times, since datagrams
  * may be lost.
  */
-import type { TrueTime } from './true-time.js';
+import type { FleetTime } from './true-time.js';
 import { createUsageLedger } from './usage-ledger.js';
-import type { UsageCount, UsageLedger, UsageShare } from './usage-ledger.js';
+import type { UsageCount, UsageLedger, WindowCounts } from './usage-ledger.js';
 
 /** Interval between updates, in milliseconds, for fleets of up to `BASE_FLEET_SIZE` instances. */
 const UPDATE_INTERVAL_MS = 400;
@@ -29,18 +29,18 @@
 }
 
 /** Counts sent by one source. */
-export interface UsageTelling {
+export interface UsageUpdate {
   readonly source: UsageSource;
   /** All calls started at the source before this fleet time have been sent. */
-  readonly reachedMs: number;
-  readonly shares: readonly UsageShare[];
+  readonly watermarkMs: number;
+  readonly windows: readonly WindowCounts[];
 }
 
 export interface UsageMeterOptions {
   readonly source: UsageSource;
   /** Length of a window, in milliseconds. */
   readonly windowMs: number;
-  readonly time: TrueTime;
+  readonly time: FleetTime;
   readonly countInstances: () => number;
 }
 
@@ -48,10 +48,10 @@
   /** Counts a call; `startedMs` is on the monotonic clock. */
   record(organisation: string, startedMs: number): void;
   /** The update to send now; undefined if none is due. */
-  advance(nowMs: number): UsageTelling | undefined;
+  advance(nowMs: number): UsageUpdate | undefined;
   /** Queues all counts of this instance again, for an aggregator that has just started. */
-  addKeeper(): void;
-  merge(update: UsageTelling, nowMs: number): void;
+  postAll(): void;
+  merge(update: UsageUpdate, nowMs: number): void;
   sum(window: number): UsageCount[];
   /** Whether all active sources have sent every call started before this fleet time. */
   isComplete(fleetMs: number, nowMs: number): boolean;
@@ -101,7 +101,7 @@
     return UPDATE_INTERVAL_MS * Math.max(1, countInstances() / BASE_FLEET_SIZE);
   }
 
-  function takePendingCounts(): UsageShare[] {
+  function takePendingCounts(): WindowCounts[] {
     const windows = ledger.listBySource(source).map(({ window, counts }) => ({
       window,
       counts: counts.filter(({ organisation }) => pendingSends.get(window)?.has(organisation)),
@@ -131,10 +131,10 @@
       const windows = takePendingCounts();
       emptyIntervals = windows.length > 0 ? 0 : emptyIntervals + 1;
       return emptyIntervals % EMPTY_UPDATE_INTERVALS === 0
-        ? { source: options.source, reachedMs: watermarkMs, shares: windows }
+        ? { source: options.source, watermarkMs, windows }
         : undefined;
     },
-    addKeeper() {
+    postAll() {
       for (const { window, counts } of ledger.listBySource(source)) {
         pendingSends.set(
           window,
@@ -144,9 +144,12 @@
     },
     merge(update, nowMs) {
       const sender = formatSource(update.source);
-      for (const windowCounts of update.shares) ledger.merge(sender, windowCounts);
+      for (const windowCounts of update.windows) ledger.merge(sender, windowCounts);
       const known = watermarks.get(sender)?.watermarkMs ?? -Infinity;
-      watermarks.set(sender, { watermarkMs: Math.max(known, update.reachedMs), receivedMs: nowMs });
+      watermarks.set(sender, {
+        watermarkMs: Math.max(known, update.watermarkMs),
+        receivedMs: nowMs,
+      });
     },
     sum: (window) => ledger.sum(window),
     isComplete(fleetMs, nowMs) {
--- a/src/gateway/call-quarantine.ts
+++ b/src/gateway/call-quarantine.ts
@@ -1,11 +1,11 @@
 /** The quarantine of a gateway; stores condemned contents at the source so that they survive restarts of the fleet. */
 import type { DecisionLog } from '../observability/decision-log.js';
-import type { CaseChange, ToldCase } from '../quarantine/case-ledger.js';
+import type { CaseChange, CaseReport } from '../quarantine/case-ledger.js';
 import { CASE_STATE, createCaseRows } from '../quarantine/case-rows.js';
 import type { CaseStore } from '../quarantine/case-rows.js';
 import { STANDING } from '../quarantine/crash-case.js';
 import type { CrashCase } from '../quarantine/crash-case.js';
-import type { Acceptance } from '../quarantine/crash-detector.js';
+import type { ConnectionResult } from '../quarantine/crash-detector.js';
 import { createQuarantine } from '../quarantine/quarantine.js';
 import type { Quarantine, QuarantineObserver } from '../quarantine/quarantine.js';
 import type { TimerService } from '../runtime/timer-service.js';
@@ -17,7 +17,7 @@
   readonly observer: QuarantineObserver;
   readonly caseStore: CaseStore;
   /** Opens a separate connection to an endpoint as a probe; never rejects. */
-  readonly checkAcceptance: (address: string) => Promise<Acceptance>;
+  readonly checkConnection: (address: string) => Promise<ConnectionResult>;
   readonly findEndpoint: (id: string) => RegisteredEndpoint | undefined;
 }
 
@@ -35,7 +35,7 @@
   const rows = createCaseRows({
     store: caseStore,
     timers,
-    onTold: (told: ToldCase) => quarantine.merge([told], 'source'),
+    onReport: (told: CaseReport) => quarantine.merge([told], 'source'),
   });
 
   /** Called only for changes found by this instance, so that each is written once. */
@@ -48,7 +48,7 @@
   }
 
   const quarantine = createQuarantine({
-    checkAcceptance: options.checkAcceptance,
+    checkConnection: options.checkConnection,
     findEndpoint: options.findEndpoint,
     takeTrialLease: (content) => caseStore.takeTrialLease(content),
     getNow: () => timers.clock.monotonicMs(),
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -6,11 +6,11 @@
 import type { DutyStore } from '../duties/duty-store.js';
 import { createFleetDuties } from '../duties/fleet-duties.js';
 import type { FleetDuties } from '../duties/fleet-duties.js';
-import type { SizedPool } from '../duties/pool-orders.js';
-import type { PoolPresence } from '../duties/pool-sizing.js';
-import type { TrueTime } from '../duties/true-time.js';
+import type { PoolLoad } from '../duties/pool-scaler.js';
+import type { RunningCount } from '../duties/pool-sizing.js';
+import type { FleetTime } from '../duties/true-time.js';
 import { createUsageMeter } from '../duties/usage-meter.js';
-import type { UsageTelling } from '../duties/usage-meter.js';
+import type { UsageUpdate } from '../duties/usage-meter.js';
 import type { FeedReader } from '../knowledge/feed.js';
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
 import type { TimerService } from '../runtime/timer-service.js';
@@ -40,7 +40,7 @@
   readonly incarnation: number;
   readonly timers: TimerService;
   readonly random: Random;
-  readonly time: TrueTime;
+  readonly time: FleetTime;
   readonly loads: EndpointLoads;
   readonly directory: Pick<EndpointDirectory, 'listAll'>;
   readonly peers: Pick<
@@ -55,17 +55,17 @@
 export interface GatewayDuties extends FleetDuties {
   /** Records that an endpoint started a call. */
   recordStarted(call: RoutedCall, startedMs: number): void;
-  handleUsage(usage: UsageTelling): void;
+  handleUsage(usage: UsageUpdate): void;
 }
 
 /** Wraps a feed and records the source's clock from every answer. */
 export function createTimedFeed(
   feed: FeedReader,
-  time: TrueTime,
+  time: FleetTime,
   getNow: () => number,
 ): FeedReader {
   function recordTime(answer: Awaited<ReturnType<FeedReader['list']>>): typeof answer {
-    if (answer.kind === 'rows') time.recordSource(answer.sourceNowMs, getNow());
+    if (answer.kind === 'rows') time.recordSourceTime(answer.sourceNowMs, getNow());
     return answer;
   }
   return {
@@ -85,7 +85,7 @@
     countInstances: () => peers.countInstances(),
   });
 
-  function listPresent(pool: string, scaling: ScalingBounds): PoolPresence[] {
+  function listPresent(pool: string, scaling: ScalingBounds): RunningCount[] {
     const endpoints = directory.listAll().filter((endpoint) => endpoint.pool === pool);
     const present = new Map<string, { lasting: number; spot: number }>();
     const names = [...scaling.dataCentres, ...endpoints.map(({ dataCentre }) => dataCentre)];
@@ -102,7 +102,7 @@
     const openEndpoints = directory
       .listAll()
       .filter((endpoint) => endpoint.pool === pool && !endpoint.isLeaving);
-    const msPerToken = loads.getPoolPace(pool).reading?.msPerToken ?? 0;
+    const msPerToken = loads.getPoolTiming(pool).prefillSpeed?.msPerToken ?? 0;
     const unread = openEndpoints.reduce(
       (sum, { startId }) => sum + loads.get(startId).unreadTokens,
       0,
@@ -118,13 +118,13 @@
     return Math.min(...poolRoutes.map(({ targetMs }) => targetMs));
   }
 
-  function buildSizedPool({ name, scaling }: TrafficPool): SizedPool[] {
+  function buildSizedPool({ name, scaling }: TrafficPool): PoolLoad[] {
     if (scaling === undefined) return [];
     return [
       {
         pool: name,
         scaling,
-        present: listPresent(name, scaling),
+        running: listPresent(name, scaling),
         backlogMs: computeBacklogMs(name),
         targetMs: computeTargetMs(name),
       },
@@ -143,7 +143,7 @@
     leaseMs: duties.leaseMs,
     isFirstStart: duties.isFirstStart,
     usage: duties.usage,
-    ordersPools: duties.ordersPools,
+    isScalingEnabled: duties.ordersPools,
     isCandidate: () => peers.isDutyCandidate(),
     isLeaving: options.isLeaving,
     listPools: () => (options.getConfiguration()?.pools ?? []).flatMap(buildSizedPool),
@@ -155,7 +155,7 @@
   /** Makes the meter send all counts again when a new duty candidate appears. */
   function updateCandidates(): void {
     const names = peers.listDutyCandidates();
-    if (names.some((name) => !knownCandidates.has(name))) meter.addKeeper();
+    if (names.some((name) => !knownCandidates.has(name))) meter.postAll();
     knownCandidates = new Set(names);
   }
 
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -9,9 +9,9 @@
 import type { CallRunner, RunningCall } from '../calls/call-runner.js';
 import type { EndpointConnections } from '../calls/endpoint-connections.js';
 import type { EndpointProtocol } from '../calls/endpoint-protocol.js';
-import { createTrueTime } from '../duties/true-time.js';
+import { createFleetTime } from '../duties/true-time.js';
 import type { DutyStatus } from '../duties/fleet-duties.js';
-import type { UsageTelling } from '../duties/usage-meter.js';
+import type { UsageUpdate } from '../duties/usage-meter.js';
 import type { FetchKnowledgeRequest, FetchKnowledgeResponse, PeerMessage } from '../gen/peer_pb.js';
 import type { FeedReader } from '../knowledge/feed.js';
 import { createDrain, STAGE } from '../lifecycle/drain.js';
@@ -22,15 +22,15 @@
 import type { PeerLinks } from '../peers/peer-links.js';
 import type { PeerTelling } from '../peers/peer-telling.js';
 import { createEndpointLoads } from '../placement/endpoint-loads.js';
-import { hashStart } from '../placement/told-loads.js';
-import type { EndpointKey } from '../placement/told-loads.js';
+import { hashStartId } from '../placement/remote-loads.js';
+import type { EndpointKey } from '../placement/remote-loads.js';
 import { createPlacer } from '../placement/placer.js';
 import type { CaseStore } from '../quarantine/case-rows.js';
-import type { ToldCase } from '../quarantine/case-ledger.js';
+import type { CaseReport } from '../quarantine/case-ledger.js';
 import type { CrashCase } from '../quarantine/crash-case.js';
-import type { Acceptance } from '../quarantine/crash-detector.js';
+import type { ConnectionResult } from '../quarantine/crash-detector.js';
 import type { QuarantineObserver } from '../quarantine/quarantine.js';
-import { FIRST_STANDING } from '../routes/route-standing.js';
+import { TOP_RANK } from '../routes/route-rank.js';
 import { createRouteTable } from '../routes/route-table.js';
 import type { RouteTable } from '../routes/route-table.js';
 import type { Invariants } from '../runtime/invariants.js';
@@ -42,13 +42,13 @@
 import type { Random } from '../utils/random.js';
 import { Err } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
-import { createLeavingFailure, createNotReadyFailure, resolveCall } from './admit-call.js';
-import type { CallerRequest } from './admit-call.js';
+import { createLeavingFailure, createNotReadyFailure, resolveCall } from './resolve-call.js';
+import type { CallerRequest } from './resolve-call.js';
 import { createCallQuarantine } from './call-quarantine.js';
 import { createGatewayDuties, createTimedFeed } from './gateway-duties.js';
 import type { DutyOptions, GatewayDuties } from './gateway-duties.js';
-import { LEADING_WATCH_WAIT_MS, createKnowledgeStore } from './knowledge-keeper.js';
-import type { RowDecoder } from './knowledge-keeper.js';
+import { LEADING_WATCH_WAIT_MS, createKnowledgeStore } from './knowledge-store.js';
+import type { RowDecoder } from './knowledge-store.js';
 import { createPeerExchange } from './peer-exchange.js';
 
 const TICK_MS = 100;
@@ -79,7 +79,7 @@
   readonly decoder: RowDecoder;
   readonly connections: EndpointConnections;
   /** Checks whether connections to an endpoint's address are accepted. */
-  readonly checkAcceptance: (address: string) => Promise<Acceptance>;
+  readonly checkConnection: (address: string) => Promise<ConnectionResult>;
   readonly protocol: EndpointProtocol;
   readonly observer: CallObserver;
   readonly quarantineObserver: QuarantineObserver;
@@ -112,10 +112,10 @@
   leave(): void;
   getConfiguration(): TrafficConfiguration | undefined;
   getKnowledgeState(): KnowledgeState;
-  handleTold(status: PeerTelling): void;
-  handleCases(from: string, cases: readonly ToldCase[]): void;
-  handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
-  handleUsage(usage: UsageTelling): void;
+  handlePeerStatus(status: PeerTelling): void;
+  handleCases(from: string, cases: readonly CaseReport[]): void;
+  handleMessages(from: string, bodies: readonly PeerMessage['body'][]): void;
+  handleUsage(usage: UsageUpdate): void;
   /** Undefined if the deployment has no duties. */
   getDutyStatus(): DutyStatus | undefined;
   /** Temporarily hands the duties over to other instances; false if this instance does not hold them. */
@@ -138,7 +138,7 @@
   const { timers, log, random } = options;
   const loads = createEndpointLoads();
   const drain = createDrain(options.drainTimeoutMs, options.drainNoticeMs);
-  const time = createTrueTime();
+  const time = createFleetTime();
   let table: RouteTable | undefined;
   const getNow = (): number => timers.clock.monotonicMs();
 
@@ -167,7 +167,7 @@
     log,
     observer: options.quarantineObserver,
     caseStore: options.caseStore,
-    checkAcceptance: options.checkAcceptance,
+    checkConnection: options.checkConnection,
     findEndpoint: (id) => knowledge.directory.find(id),
   });
 
@@ -229,8 +229,8 @@
     loads,
     random,
     listOpen: (pool) => knowledge.directory.listOpen(pool),
-    getStanding: (route, pool) => table?.getStanding(route, pool) ?? FIRST_STANDING,
-    isCut: (dataCentre) => peers.isCut(dataCentre),
+    getStanding: (route, pool) => table?.getRouteRank(route, pool) ?? TOP_RANK,
+    isDataCentreUnreachable: (dataCentre) => peers.isDataCentreUnreachable(dataCentre),
     isAvoided: (endpoint) => quarantine.isInTrial(endpoint),
   });
   const runner: CallRunner = createCallRunner({
@@ -245,10 +245,10 @@
     findPool: (name) => table?.findPool(name),
     countInstances: () => peers.countInstances(),
     quarantine,
-    onBegun: (call, startedMs) => duties?.recordStarted(call, startedMs),
+    onStarted: (call, startedMs) => duties?.recordStarted(call, startedMs),
     checkSendable(call) {
       // Checked right before each send, since the key may have been revoked while the call waited.
-      if (!call.isKeyed || areKeysValid()) return undefined;
+      if (!call.isAuthenticated || areKeysValid()) return undefined;
       return createNotReadyFailure('this instance cannot tell whether the key is still valid');
     },
   });
@@ -310,13 +310,13 @@
       configurationVersion: table?.version ?? 0,
       ageMs: knowledge.computeAge(),
     }),
-    handleTold: (status) => peers.handleTold(status),
+    handlePeerStatus: (status) => peers.handlePeerStatus(status),
     handleCases: (from, cases) => peers.handleCases(from, cases),
     findEndpointName: (start) =>
-      knowledge.directory.listAll().find(({ startId }) => hashStart(startId) === start)?.id,
+      knowledge.directory.listAll().find(({ startId }) => hashStartId(startId) === start)?.id,
     listCases: quarantineControl.listCases,
     releaseCase: quarantineControl.releaseCase,
-    handleBodies: (from, bodies) => peers.handleBodies(from, bodies),
+    handleMessages: (from, bodies) => peers.handleMessages(from, bodies),
     recordUnreachable: (address) => peers.recordUnreachable(address),
     handleUsage: (usage) => duties?.handleUsage(usage),
     getDutyStatus: () => duties?.getStatus(),
--- a/src/gateway/knowledge-keeper.test.ts
+++ b/src/gateway/knowledge-store.test.ts
@@ -5,8 +5,8 @@
 import type { RegisteredEndpoint, TrafficConfiguration } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
 import type { WatchDuty } from '../knowledge/watch-duty.js';
-import { createKnowledgeStore } from './knowledge-keeper.js';
-import type { KnowledgeStore, RowDecoder } from './knowledge-keeper.js';
+import { createKnowledgeStore } from './knowledge-store.js';
+import type { KnowledgeStore, RowDecoder } from './knowledge-store.js';
 
 const NEVER = new Promise<FeedAnswer>(() => {
   // Never resolves.
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -2,11 +2,11 @@
  * Communication between instances: membership, exchange of endpoint loads and usage counts, and fetches
  * of table contents that other instances have and this one lacks.
  */
-import type { TrueTime } from '../duties/true-time.js';
-import type { UsageTelling } from '../duties/usage-meter.js';
+import type { FleetTime } from '../duties/true-time.js';
+import type { UsageUpdate } from '../duties/usage-meter.js';
 import { createWatchDuty, listWatchers } from '../knowledge/watch-duty.js';
-import { TELL_PERIOD_MS, createLoadExchange } from '../load-sharing/load-exchange.js';
-import type { AddressedTelling } from '../load-sharing/load-telling.js';
+import { LOAD_UPDATE_PERIOD_MS, createLoadExchange } from '../load-sharing/load-exchange.js';
+import type { AddressedLoadUpdate } from '../load-sharing/load-update.js';
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
 import type { PeerMessage } from '../gen/peer_pb.js';
 import { FactState } from '../membership/facts.js';
@@ -17,13 +17,13 @@
 import type { Datagrams } from '../peers/datagrams.js';
 import type { PeerLinks } from '../peers/peer-links.js';
 import type { PeerTelling } from '../peers/peer-telling.js';
-import type { ToldCase } from '../quarantine/case-ledger.js';
+import type { CaseReport } from '../quarantine/case-ledger.js';
 import type { Quarantine } from '../quarantine/quarantine.js';
 import type { Invariants } from '../runtime/invariants.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import type { InstanceListClient } from '../storage/instance-list-client.js';
 import type { Random } from '../utils/random.js';
-import type { KnowledgeStore } from './knowledge-keeper.js';
+import type { KnowledgeStore } from './knowledge-store.js';
 import { createKnowledgeFetcher } from './knowledge-fetcher.js';
 import type { KnowledgePeer } from './knowledge-fetcher.js';
 
@@ -44,7 +44,7 @@
   readonly log: DecisionLog;
   readonly links: PeerLinks;
   readonly datagrams: Pick<Datagrams, 'sendLoads' | 'sendGossip' | 'sendCases' | 'sendUsage'>;
-  readonly time: TrueTime;
+  readonly time: FleetTime;
   readonly instances: InstanceListClient;
   readonly loads: EndpointLoads;
   readonly quarantine: Pick<Quarantine, 'takeTold' | 'merge'>;
@@ -58,19 +58,19 @@
 }
 
 export interface PeerExchange {
-  handleTold(status: PeerTelling): void;
-  handleCases(from: string, cases: readonly ToldCase[]): void;
-  handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
+  handlePeerStatus(status: PeerTelling): void;
+  handleCases(from: string, cases: readonly CaseReport[]): void;
+  handleMessages(from: string, bodies: readonly PeerMessage['body'][]): void;
   recordUnreachable(address: string): void;
   /** Fetches knowledge from peers, whatever the age of this instance's knowledge. */
   startKnowledgeFetches(): void;
-  isCut(dataCentre: string): boolean;
+  isDataCentreUnreachable(dataCentre: string): boolean;
   /** Whether this instance may hold the fleet's duties and therefore keeps the usage counts. */
   isDutyCandidate(): boolean;
   /** Names of the other duty candidates. */
   listDutyCandidates(): readonly string[];
   /** Sends usage counts to the other duty candidates. */
-  sendUsage(usage: UsageTelling): void;
+  sendUsage(usage: UsageUpdate): void;
   /** Number of instances that share the endpoints, including this one. */
   countInstances(): number;
   /** Announces that this instance is leaving. */
@@ -168,7 +168,7 @@
   }
 
   /** Sends quarantine cases to the recipients of the loads, so that they spread as fast. */
-  function sendCases(tellings: readonly AddressedTelling[]): void {
+  function sendCases(tellings: readonly AddressedLoadUpdate[]): void {
     const addresses = [...new Set(tellings.flatMap((telling) => telling.addresses))];
     if (addresses.length === 0) return;
     const cases = options.quarantine.takeTold();
@@ -199,11 +199,11 @@
     knowledge.setDuty(duty);
   }
 
-  timers.subscribe(TELL_PERIOD_MS, () => {
+  timers.subscribe(LOAD_UPDATE_PERIOD_MS, () => {
     updateUnreachable();
     const summary = knowledge.getSummary();
     const tellings = loadExchange.advance(getNow());
-    const time = options.time.buildTold(getNow());
+    const time = options.time.buildPeerTime(getNow());
     for (const telling of tellings) options.datagrams.sendLoads(telling, summary, time);
     sendCases(tellings);
   });
@@ -214,12 +214,12 @@
   timers.subscribeOnce(0, advanceWatchDuty);
 
   return {
-    handleTold(status) {
+    handlePeerStatus(status) {
       const nowMs = getNow();
       for (const name of [status.dataCentre, ...status.heardDataCentres]) {
         reachability.recordHeard(name, nowMs);
       }
-      if (status.time !== undefined) options.time.recordTold(status.time, nowMs);
+      if (status.time !== undefined) options.time.recordPeerTime(status.time, nowMs);
       loadExchange.handle(status, nowMs);
       const isPeerAhead = knowledge.applySummary(status.knowledge);
       const address = isPeerAhead ? fleet.findAddress(status.instance) : undefined;
@@ -227,8 +227,8 @@
         knowledgeFetcher.startUpdateFetch({ name: status.instance, address });
     },
     handleCases: (from, cases) => options.quarantine.merge(cases, from),
-    isCut: (dataCentre) => unreachableDataCentres.has(dataCentre),
-    handleBodies(from, bodies) {
+    isDataCentreUnreachable: (dataCentre) => unreachableDataCentres.has(dataCentre),
+    handleMessages(from, bodies) {
       for (const body of bodies) {
         switch (body.case) {
           case 'ping':
--- a/src/gateway/admit-call.ts
+++ b/src/gateway/resolve-call.ts
@@ -20,7 +20,7 @@
   readonly path: string;
   readonly key: string | undefined;
   /** Timeout set by the caller, if any. */
-  readonly waitsMs: number | undefined;
+  readonly callerTimeoutMs: number | undefined;
   readonly lastEventId: string | undefined;
   readonly prompt: PromptShape | undefined;
   readonly payload: CallPayload;
@@ -106,7 +106,7 @@
   if (pool === undefined) {
     return Err(createNotReadyFailure('the route has no pool yet; come back'));
   }
-  const timeoutMs = Math.min(request.waitsMs ?? route.timeoutMs, route.timeoutMs);
+  const timeoutMs = Math.min(request.callerTimeoutMs ?? route.timeoutMs, route.timeoutMs);
   const { method, target, body } = request.payload;
   const getContentId = createContentIdGetter({
     method,
@@ -123,7 +123,7 @@
     route,
     pool,
     organisation: organisation?.name,
-    isKeyed: requiresKey,
+    isAuthenticated: requiresKey,
     urgency: table.computeUrgency(route, organisation),
     prompt: request.prompt,
     payload: request.payload,
--- a/src/leases/lapse-watch.ts
+++ b/src/leases/lapse-watch.ts
@@ -13,7 +13,7 @@
    * Whether the document has stayed at this version for the lease duration; `nowMs` is on the
    * monotonic clock.
    */
-  isLapsed(key: string, version: number, nowMs: number): boolean;
+  isExpired(key: string, version: number, nowMs: number): boolean;
 }
 
 interface Observation {
@@ -21,10 +21,10 @@
   readonly firstSeenMs: number;
 }
 
-export function createLapseWatch(durationMs: number): LeaseExpiryTracker {
+export function createLeaseExpiryTracker(durationMs: number): LeaseExpiryTracker {
   const observations = createBoundedMap<string, Observation>(OBSERVATIONS_MAX);
   return {
-    isLapsed(key, version, nowMs) {
+    isExpired(key, version, nowMs) {
       const last = observations.get(key);
       if (last?.version === version) return nowMs - last.firstSeenMs >= durationMs;
       observations.set(key, { version, firstSeenMs: nowMs });
--- a/src/leases/lease-bounds.ts
+++ b/src/leases/lease-bounds.ts
@@ -1,35 +1,35 @@
 /** Durations that govern a lease, in milliseconds. */
 
 /** Durations shared by all participants in a lease, in milliseconds. */
-export interface LeaseBounds {
+export interface LeaseTimings {
   /**
    * How long a write by the holder grants the lease, measured on its own clocks from before
    * sending.
    */
-  readonly lengthMs: number;
+  readonly durationMs: number;
   /** Interval between renewals by the holder. */
   readonly renewMs: number;
   /**
    * Added to the lease duration before others take over, to allow for clocks that run at different
    * rates.
    */
-  readonly lapseMarginMs: number;
+  readonly expiryMarginMs: number;
   /**
    * How long a missing document must stay missing before a takeover: its holder may still be
    * active.
    */
   readonly absentMs: number;
   /** The holder stops acting this long before its lease ends. */
-  readonly safetyMs: number;
+  readonly safetyMarginMs: number;
   /**
    * Wait of a new holder for calls its predecessor sent; 0 if every call ends within the caller's
    * grant.
    */
-  readonly settlingMs: number;
+  readonly takeoverDelayMs: number;
   /** Interval at which other participants read the lease. */
-  readonly readMs: number;
+  readonly pollMs: number;
   /** A store call without a response after this time counts as lost. */
-  readonly callTimeoutMs: number;
+  readonly storeTimeoutMs: number;
 }
 
 /** Two lost renewals are tolerated. */
@@ -43,17 +43,17 @@
  * no earlier holder can exist.
  * @default isFirstStart false
  */
-export function resolveLeaseBounds(durationMs: number, isFirstStart = false): LeaseBounds {
+export function computeLeaseTimings(durationMs: number, isFirstStart = false): LeaseTimings {
   const renewMs = durationMs / RENEWALS_PER_LEASE;
   const expiryMarginMs = durationMs * EXPIRY_MARGIN_SHARE;
   return {
-    lengthMs: durationMs,
+    durationMs,
     renewMs,
-    lapseMarginMs: expiryMarginMs,
+    expiryMarginMs,
     absentMs: isFirstStart ? 0 : durationMs + expiryMarginMs,
-    safetyMs: durationMs * SAFETY_MARGIN_SHARE,
-    settlingMs: 0,
-    readMs: renewMs,
-    callTimeoutMs: renewMs,
+    safetyMarginMs: durationMs * SAFETY_MARGIN_SHARE,
+    takeoverDelayMs: 0,
+    pollMs: renewMs,
+    storeTimeoutMs: renewMs,
   };
 }
--- a/src/leases/lease-document.ts
+++ b/src/leases/lease-document.ts
@@ -13,15 +13,15 @@
 }
 
 /** A lease document with its stored version. */
-export interface ReadLease {
+export interface VersionedLease {
   readonly version: number;
   readonly document: LeaseDocument;
 }
 
 /** Adds defaults for fields that earlier releases did not write. */
-export function resolveLease(
+export function applyLeaseDefaults(
   version: number,
   document: Omit<LeaseDocument, 'earlier' | 'isReleased'> & Partial<LeaseDocument>,
-): ReadLease {
+): VersionedLease {
   return { version, document: { earlier: [], isReleased: false, ...document } };
 }
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -70,7 +70,7 @@
     it('is taken over too early without the expiry margin', (t) => {
       const parts = createMutant((options) => ({
         ...options,
-        bounds: { ...options.bounds, lapseMarginMs: -LENGTH_MS / 3 },
+        timings: { ...options.timings, expiryMarginMs: -LENGTH_MS / 3 },
       }));
       t.not(findBreaches(parts), undefined);
     });
@@ -83,7 +83,7 @@
             ...lease,
             getGrant(now) {
               const grant = lease.getGrant(now);
-              return grant && { ...grant, leftMs: grant.leftMs + LENGTH_MS };
+              return grant && { ...grant, remainingMs: grant.remainingMs + LENGTH_MS };
             },
           };
         },
--- a/src/leases/lease.test.ts
+++ b/src/leases/lease.test.ts
@@ -2,8 +2,8 @@
 import { describe } from '../test/describe.js';
 import { ORDER_FLIGHT_MS, ORDER_LEASE } from '../orders/order-lease.js';
 import { createLease } from './lease.js';
-import type { Lease, LeaseCommand, Moment, WriteResult } from './lease.js';
-import type { ReadLease } from './lease-document.js';
+import type { Lease, LeaseCommand, ClockReading, WriteResult } from './lease.js';
+import type { VersionedLease } from './lease-document.js';
 
 const STEP_MS = 250;
 
@@ -21,7 +21,7 @@
     writes += 1;
     return `${name}-${writes}`;
   };
-  const lease = createLease({ holder: name, bounds: ORDER_LEASE, createWriteId });
+  const lease = createLease({ holder: name, timings: ORDER_LEASE, createWriteId });
   return { lease, queue: [], monotonicMs: 0, isPaused: false };
 }
 
@@ -62,14 +62,14 @@
 function runSchedule(steps: readonly Step[]): number[] {
   const holders = [createHolder('a'), createHolder('b'), createHolder('c')];
   const suspended = new Set<Holder>();
-  let stored: ReadLease | undefined;
+  let stored: VersionedLease | undefined;
   const cutOff = new Set<Holder>();
   let latencyMs = 0;
   let nowMs = 0;
   let inFlight: InFlightOrder[] = [];
   const arrivedFences: number[] = [];
 
-  const getMoment = (holder: Holder): Moment => ({
+  const getMoment = (holder: Holder): ClockReading => ({
     monotonicMs: holder.monotonicMs,
     wallMs: 1_000_000 + nowMs,
   });
@@ -90,7 +90,7 @@
     const message = {
       kind: 'written' as const,
       writeId,
-      ending: isResponseLost ? ({ kind: 'lost' } as const) : result,
+      result: isResponseLost ? ({ kind: 'lost' } as const) : result,
     };
     holder.queue.push(...holder.lease.handle(message, getMoment(holder)));
   }
@@ -169,7 +169,7 @@
   it('delays a new holder by the maximum latency of an order', (t) => {
     // Guards against an order that a partitioned holder sent last and that arrives after its
     // successor's.
-    const stepsBeforeExpiry = (ORDER_LEASE.lengthMs - 1000) / STEP_MS;
+    const stepsBeforeExpiry = (ORDER_LEASE.durationMs - 1000) / STEP_MS;
     const maxLatencyMs = ORDER_FLIGHT_MS - STEP_MS;
     const cutOffStep: Step[] = [
       { holder: 0, action: 'cut_off', isResponseLost: false, latencyMs: maxLatencyMs },
@@ -189,7 +189,7 @@
 
   it('is taken over with a higher fencing token after the holder stops', (t) => {
     const pauseStep: Step[] = [{ holder: 0, action: 'pause', isResponseLost: false, latencyMs: 0 }];
-    const stepsAfter = buildSteps((3 * ORDER_LEASE.lengthMs) / STEP_MS, 1, 0);
+    const stepsAfter = buildSteps((3 * ORDER_LEASE.durationMs) / STEP_MS, 1, 0);
     const fences = runSchedule([...buildSteps(20, 0, 0), ...pauseStep, ...stepsAfter]);
     t.true(isNonDecreasing(fences));
     t.is(fences[0], 1);
--- a/src/leases/lease.ts
+++ b/src/leases/lease.ts
@@ -8,8 +8,8 @@
  * monotonic clocks diverge, since a monotonic clock may stop while a machine is suspended.
  */
 import { assertNever } from '../utils/assert-never.js';
-import type { LeaseBounds } from './lease-bounds.js';
-import type { LeaseDocument, ReadLease } from './lease-document.js';
+import type { LeaseTimings } from './lease-bounds.js';
+import type { LeaseDocument, VersionedLease } from './lease-document.js';
 
 /** Previous holders recorded in a document. */
 const EARLIER_HOLDERS_MAX = 4;
@@ -17,7 +17,7 @@
 const UNACKNOWLEDGED_WRITES_MAX = 8;
 
 /** Both clocks, read at the same time. */
-export interface Moment {
+export interface ClockReading {
   readonly monotonicMs: number;
   readonly wallMs: number;
 }
@@ -27,7 +27,7 @@
   /** `version`: the new version of the document. */
   | { readonly kind: 'written'; readonly version: number }
   /** The stored version differed; `lease`: the stored document, if the store returned it. */
-  | { readonly kind: 'conflict'; readonly lease: ReadLease | undefined }
+  | { readonly kind: 'conflict'; readonly lease: VersionedLease | undefined }
   /** No response: the write may have been applied, or may still be. */
   | { readonly kind: 'lost' };
 
@@ -38,10 +38,10 @@
   /** `newestVersion`: upper bound of the versions at which this lease was ever written. */
   | {
       readonly kind: 'read';
-      readonly lease: ReadLease | undefined;
+      readonly lease: VersionedLease | undefined;
       readonly newestVersion: number;
     }
-  | { readonly kind: 'written'; readonly writeId: string; readonly ending: WriteResult }
+  | { readonly kind: 'written'; readonly writeId: string; readonly result: WriteResult }
   /** The process was paused, or its clocks diverged. */
   | { readonly kind: 'paused' };
 
@@ -55,14 +55,14 @@
   /** Fencing token: sent with each call; a higher token belongs to a later holder. */
   readonly fence: number;
   /** Time by which calls started now must have ended, in milliseconds from now. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
 }
 
 /** One participant in a lease. */
 export interface Lease {
-  handle(message: LeaseMessage, now: Moment): LeaseCommand[];
+  handle(message: LeaseMessage, now: ClockReading): LeaseCommand[];
   /** Undefined if this participant must not start any call. */
-  getGrant(now: Moment): Grant | undefined;
+  getGrant(now: ClockReading): Grant | undefined;
   /** The document last observed. */
   getLastDocument(): LeaseDocument | undefined;
 }
@@ -70,13 +70,13 @@
 export interface LeaseOptions {
   /** Machine name; a restarted process takes part under the same name. */
   readonly holder: string;
-  readonly bounds: LeaseBounds;
+  readonly timings: LeaseTimings;
   readonly createWriteId: () => string;
   /**
    * Extra wait before a takeover, as a share (0 to 1) of the read interval.
    * @default 0
    */
-  readonly drawDelay?: () => number;
+  readonly computeJitter?: () => number;
 }
 
 interface SentWrite {
@@ -93,7 +93,7 @@
 }
 
 interface ObservedLease {
-  readonly lease: ReadLease;
+  readonly lease: VersionedLease;
   readonly observedMs: number;
   /** Drawn per document, so that waiting participants do not take over at the same time. */
   readonly jitterMs: number;
@@ -102,9 +102,9 @@
 /** Creates a participant that does not hold the lease. */
 export function createLease({
   holder,
-  bounds,
+  timings,
   createWriteId,
-  drawDelay = () => 0,
+  computeJitter = () => 0,
 }: LeaseOptions): Lease {
   let observed: ObservedLease | undefined;
   let absentSinceMs: number | undefined;
@@ -120,31 +120,31 @@
   /** Wall clock minus monotonic clock, when last checked. */
   let clockOffsetMs: number | undefined;
 
-  function computeRemainingMs(now: Moment): number {
+  function computeRemainingMs(now: ClockReading): number {
     if (held === undefined) return 0;
     const ageMs = now.monotonicMs - held.grantedMs;
-    return bounds.lengthMs - bounds.safetyMs - ageMs;
+    return timings.durationMs - timings.safetyMarginMs - ageMs;
   }
 
   /**
    * Suspends the grant until the next renewal if the clocks have diverged. The monotonic clock may
    * have stopped during a suspension, and a later step of the wall clock could hide it.
    */
-  function checkClocks(now: Moment): void {
+  function checkClocks(now: ClockReading): void {
     const offsetMs = now.wallMs - now.monotonicMs;
     const driftMs = Math.abs(offsetMs - (clockOffsetMs ?? offsetMs));
     clockOffsetMs = offsetMs;
-    if (driftMs > bounds.safetyMs / 2) handlePaused();
+    if (driftMs > timings.safetyMarginMs / 2) handlePaused();
   }
 
-  function postRead(now: Moment): void {
+  function postRead(now: ClockReading): void {
     lastReadMs = now.monotonicMs;
     commands.push({ kind: 'read' });
   }
 
   function postWrite(
     fields: Pick<LeaseDocument, 'fence' | 'earlier' | 'isReleased'>,
-    now: Moment,
+    now: ClockReading,
   ): void {
     const document: LeaseDocument = { holder, writeId: createWriteId(), ...fields };
     pending = { document, expectedVersion: observed?.lease.version ?? 0, sentMs: now.monotonicMs };
@@ -152,7 +152,7 @@
     commands.push({ kind: 'write', document, expectedVersion: pending.expectedVersion });
   }
 
-  function postRenewal(fence: number, isReleased: boolean, now: Moment): void {
+  function postRenewal(fence: number, isReleased: boolean, now: ClockReading): void {
     postWrite({ fence, earlier: observed?.lease.document.earlier ?? [], isReleased }, now);
   }
 
@@ -160,7 +160,7 @@
    * Derives the fencing token from the store's versions, which keep increasing if the document is
    * lost. Guards against reused tokens, which would let receivers accept outdated calls.
    */
-  function postTakeover(now: Moment): void {
+  function postTakeover(now: ClockReading): void {
     const previous = observed?.lease.document;
     const fence = Math.max(newestVersion, observed?.lease.version ?? 0, previous?.fence ?? 0) + 1;
     const earlier = previous === undefined ? [] : [previous.holder, ...previous.earlier];
@@ -172,60 +172,60 @@
    * holders. Guards against a machine that acts again right after its successor, which looks like
    * two concurrent holders.
    */
-  function isFree(now: Moment): boolean {
+  function isFree(now: ClockReading): boolean {
     if (observed === undefined) {
       const absentMs = lastAbsentReadMs - (absentSinceMs ?? Infinity);
-      return absentMs >= bounds.absentMs && now.monotonicMs - lastAbsentReadMs <= bounds.readMs;
+      return absentMs >= timings.absentMs && now.monotonicMs - lastAbsentReadMs <= timings.pollMs;
     }
     const { document } = observed.lease;
     const isReleasedByOther =
       document.isReleased && document.holder !== holder && !document.earlier.includes(holder);
     if (isReleasedByOther) return true;
-    const expiryMs = bounds.lengthMs + bounds.lapseMarginMs;
+    const expiryMs = timings.durationMs + timings.expiryMarginMs;
     return now.monotonicMs - observed.observedMs > expiryMs + observed.jitterMs;
   }
 
-  function checkWriteTimeout(now: Moment): void {
+  function checkWriteTimeout(now: ClockReading): void {
     if (pending === undefined) return;
-    if (now.monotonicMs - pending.sentMs < bounds.callTimeoutMs) return;
+    if (now.monotonicMs - pending.sentMs < timings.storeTimeoutMs) return;
     unacknowledged = [pending, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
     pending = undefined;
     postRead(now);
   }
 
-  function postRelease({ fence }: HeldLease, now: Moment): void {
+  function postRelease({ fence }: HeldLease, now: ClockReading): void {
     held = undefined;
     postRenewal(fence, true, now);
   }
 
-  function advanceHeld({ fence }: HeldLease, now: Moment): void {
-    const isDue = now.monotonicMs - lastWriteMs >= bounds.renewMs;
+  function advanceHeld({ fence }: HeldLease, now: ClockReading): void {
+    const isDue = now.monotonicMs - lastWriteMs >= timings.renewMs;
     if (isDue && observed !== undefined) postRenewal(fence, false, now);
-    else if (computeRemainingMs(now) <= 0 && now.monotonicMs - lastReadMs >= bounds.readMs)
+    else if (computeRemainingMs(now) <= 0 && now.monotonicMs - lastReadMs >= timings.pollMs)
       postRead(now);
   }
 
-  function handleTick(isWanted: boolean, now: Moment): void {
+  function handleTick(isWanted: boolean, now: ClockReading): void {
     checkWriteTimeout(now);
     if (pending !== undefined) return;
     if (held !== undefined) {
       if (isWanted) advanceHeld(held, now);
       else postRelease(held, now);
     } else if (isWanted && isFree(now)) postTakeover(now);
-    else if (isWanted && now.monotonicMs - lastReadMs >= bounds.readMs) postRead(now);
+    else if (isWanted && now.monotonicMs - lastReadMs >= timings.pollMs) postRead(now);
   }
 
-  function recordObserved(lease: ReadLease, now: Moment): void {
+  function recordObserved(lease: VersionedLease, now: ClockReading): void {
     absentSinceMs = undefined;
     // Ignores stale reads, which would restart the expiry time.
     if (observed !== undefined && lease.version <= observed.lease.version) return;
-    observed = { lease, observedMs: now.monotonicMs, jitterMs: drawDelay() * bounds.readMs };
+    observed = { lease, observedMs: now.monotonicMs, jitterMs: computeJitter() * timings.pollMs };
   }
 
-  function setHeld({ document, expectedVersion, sentMs }: SentWrite, now: Moment): void {
+  function setHeld({ document, expectedVersion, sentMs }: SentWrite, now: ClockReading): void {
     if (document.isReleased) return;
     const isRenewal = held?.fence === document.fence;
-    const takeoverDelayMs = expectedVersion === 0 ? 0 : bounds.settlingMs;
+    const takeoverDelayMs = expectedVersion === 0 ? 0 : timings.takeoverDelayMs;
     held = {
       fence: document.fence,
       grantedMs: sentMs,
@@ -239,7 +239,7 @@
    * Applies a newly observed document; recognises writes of this participant whose response was
    * lost.
    */
-  function handleDocument(lease: ReadLease, now: Moment): void {
+  function handleDocument(lease: VersionedLease, now: ClockReading): void {
     const isNewer = observed === undefined || lease.version > observed.lease.version;
     recordObserved(lease, now);
     if (!isNewer) return;
@@ -251,31 +251,31 @@
   }
 
   function handleWritten(
-    { writeId, ending }: Extract<LeaseMessage, { kind: 'written' }>,
-    now: Moment,
+    { writeId, result }: Extract<LeaseMessage, { kind: 'written' }>,
+    now: ClockReading,
   ): void {
     if (pending?.document.writeId !== writeId) return;
     const write = pending;
     pending = undefined;
-    switch (ending.kind) {
+    switch (result.kind) {
       case 'written':
-        recordObserved({ version: ending.version, document: write.document }, now);
+        recordObserved({ version: result.version, document: write.document }, now);
         setHeld(write, now);
         break;
       case 'conflict':
-        if (ending.lease === undefined) postRead(now);
-        else handleDocument(ending.lease, now);
+        if (result.lease === undefined) postRead(now);
+        else handleDocument(result.lease, now);
         break;
       case 'lost':
         unacknowledged = [write, ...unacknowledged].slice(0, UNACKNOWLEDGED_WRITES_MAX);
         postRead(now);
         break;
       default:
-        assertNever(ending);
+        assertNever(result);
     }
   }
 
-  function handleRead(message: Extract<LeaseMessage, { kind: 'read' }>, now: Moment): void {
+  function handleRead(message: Extract<LeaseMessage, { kind: 'read' }>, now: ClockReading): void {
     newestVersion = Math.max(newestVersion, message.newestVersion);
     if (message.lease !== undefined) {
       handleDocument(message.lease, now);
@@ -285,7 +285,7 @@
     if (observed !== undefined && message.newestVersion <= observed.lease.version) return;
     // The document counts as continuously missing only if reads succeeded throughout.
     const isContinuous =
-      now.monotonicMs - lastAbsentReadMs <= 2 * bounds.readMs + bounds.callTimeoutMs;
+      now.monotonicMs - lastAbsentReadMs <= 2 * timings.pollMs + timings.storeTimeoutMs;
     if (!isContinuous || absentSinceMs === undefined) absentSinceMs = now.monotonicMs;
     lastAbsentReadMs = now.monotonicMs;
     observed = undefined;
@@ -328,7 +328,7 @@
       checkClocks(now);
       if (held === undefined || now.monotonicMs < held.usableFromMs) return undefined;
       const remainingMs = computeRemainingMs(now);
-      return remainingMs > 0 ? { fence: held.fence, leftMs: remainingMs } : undefined;
+      return remainingMs > 0 ? { fence: held.fence, remainingMs } : undefined;
     },
     getLastDocument: () => observed?.lease.document,
   };
--- a/src/limits/organisation-limits.ts
+++ b/src/limits/organisation-limits.ts
@@ -22,7 +22,7 @@
 /** Demand reported by other instances. */
 export interface PeerDemand {
   /** Serving instances, including this one. */
-  readonly entries: number;
+  readonly instances: number;
   /** Demand of an organisation at other instances, in requests per second. */
   getDemand(organisation: string): number;
 }
@@ -103,7 +103,7 @@
       if (usage.demand >= requestsPerSecond * REPORTED_RATE_SHARE)
         reportable.add(organisation.name);
       const peerDemand = peers.getDemand(organisation.name);
-      const share = computeShare(usage, peerDemand, peers.entries);
+      const share = computeShare(usage, peerDemand, peers.instances);
       const rate = requestsPerSecond * share;
       const refill = ((nowMs - usage.refilledMs) / 1000) * rate;
       usage.bucketLevel = Math.min(rate * BURST_SECONDS, usage.bucketLevel + refill);
--- a/src/load-sharing/load-exchange.test.ts
+++ b/src/load-sharing/load-exchange.test.ts
@@ -6,9 +6,9 @@
 import { createRandom } from '../utils/random.js';
 import { chooseAggregators, listAggregatorsFor } from './choose-heads.js';
 import type { LoadMember } from './choose-heads.js';
-import { TELL_PERIOD_MS, createLoadExchange } from './load-exchange.js';
+import { LOAD_UPDATE_PERIOD_MS, createLoadExchange } from './load-exchange.js';
 import type { LoadExchange } from './load-exchange.js';
-import { LOAD_SCOPE } from './load-telling.js';
+import { LOAD_SCOPE } from './load-update.js';
 
 const ENGINE: RegisteredEndpoint = {
   id: 'engine',
@@ -60,7 +60,7 @@
     aggregators: chooseAggregators(members),
     runPeriods(periods: number): void {
       for (let count = 0; count < periods; count += 1) {
-        nowMs += TELL_PERIOD_MS;
+        nowMs += LOAD_UPDATE_PERIOD_MS;
         fleet.forEach(advanceOne);
       }
     },
@@ -141,7 +141,7 @@
     cluster.runPeriods(8);
     const counts = cluster.fleet.map(({ exchange, loads }) => {
       loads.start(ENGINE, 500, cluster.getNow());
-      const updates = exchange.advance(cluster.getNow() + TELL_PERIOD_MS);
+      const updates = exchange.advance(cluster.getNow() + LOAD_UPDATE_PERIOD_MS);
       return updates.reduce((sum, { addresses }) => sum + addresses.length, 0);
     });
     t.true(Math.max(...counts) <= 60, `${Math.max(...counts)} datagrams in a period`);
@@ -160,7 +160,7 @@
     cluster.runPeriods(8);
     aggregator.loads.start(ENGINE, 500, cluster.getNow());
     const table = aggregator.exchange
-      .advance(cluster.getNow() + TELL_PERIOD_MS)
+      .advance(cluster.getNow() + LOAD_UPDATE_PERIOD_MS)
       .find(({ scope }) => scope === LOAD_SCOPE.Others);
     t.deepEqual([...(table?.heardDataCentres ?? [])].sort(), ['dc-0', 'dc-1']);
   });
--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -7,16 +7,16 @@
  * need not agree on the membership.
  */
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
-import { createRemoteLoads, mergeShares } from '../placement/told-loads.js';
-import type { EndpointShareOfLoad } from '../placement/told-loads.js';
+import { createRemoteLoads, mergeShares } from '../placement/remote-loads.js';
+import type { EndpointLoadShare } from '../placement/remote-loads.js';
 import { assertNever } from '../utils/assert-never.js';
 import { chooseAggregators, listAggregatorsFor } from './choose-heads.js';
 import type { LoadMember } from './choose-heads.js';
-import { LOAD_SCOPE } from './load-telling.js';
-import type { AddressedTelling, ReceivedTelling } from './load-telling.js';
+import { LOAD_SCOPE } from './load-update.js';
+import type { AddressedLoadUpdate, ReceivedLoadUpdate } from './load-update.js';
 
 /** Period of load updates, in milliseconds. */
-export const TELL_PERIOD_MS = 100;
+export const LOAD_UPDATE_PERIOD_MS = 100;
 /** Periods after which an unchanged update is repeated, as a heartbeat. */
 const HEARTBEAT_PERIODS = 3;
 /** Age at which reported loads are removed, in milliseconds: three lost heartbeats. */
@@ -44,12 +44,12 @@
 
 export interface LoadExchange {
   /** Advances by one period and returns the updates to send. */
-  advance(nowMs: number): AddressedTelling[];
-  handle(update: ReceivedTelling, nowMs: number): void;
+  advance(nowMs: number): AddressedLoadUpdate[];
+  handle(update: ReceivedLoadUpdate, nowMs: number): void;
 }
 
 /** Formats the values whose changes are sent at once; other values wait for a heartbeat. */
-function formatShares(shares: readonly EndpointShareOfLoad[]): string {
+function formatShares(shares: readonly EndpointLoadShare[]): string {
   return shares
     .map(({ endpoint, running, unreadTokens }) => `${endpoint}:${running}:${unreadTokens}`)
     .join(' ');
@@ -136,11 +136,11 @@
   }
 
   function buildUpdate(
-    scope: AddressedTelling['scope'],
+    scope: AddressedLoadUpdate['scope'],
     to: readonly string[],
-    shares: readonly EndpointShareOfLoad[],
+    shares: readonly EndpointLoadShare[],
     nowMs: number,
-  ): AddressedTelling {
+  ): AddressedLoadUpdate {
     return {
       scope,
       shares,
@@ -152,15 +152,15 @@
   /** Subtracts a member's own load from the load of the fleet. */
   function buildOthersShares(
     member: string,
-    fleet: readonly EndpointShareOfLoad[],
-  ): EndpointShareOfLoad[] {
+    fleet: readonly EndpointLoadShare[],
+  ): EndpointLoadShare[] {
     const sources = [...(reporters.get(member)?.sources ?? [])];
     const reported = sources.flatMap((source) => groupLoads.listFrom(source));
     const own = new Map(reported.map((share) => [share.endpoint, share]));
     return fleet.flatMap((share) => {
       const part = own.get(share.endpoint);
       if (part === undefined) return [share];
-      const rest: EndpointShareOfLoad = {
+      const rest: EndpointLoadShare = {
         endpoint: share.endpoint,
         running: share.running - part.running,
         urgent: share.urgent - part.urgent,
@@ -174,7 +174,7 @@
     });
   }
 
-  function buildAggregatorUpdates(nowMs: number): AddressedTelling[] {
+  function buildAggregatorUpdates(nowMs: number): AddressedLoadUpdate[] {
     const others = new Set([...aggregators, ...aggregatorsHeardMs.keys()]);
     others.delete(self.name);
     const groupShares = mergeShares([loads.listOwn(nowMs), groupLoads.list()]);
@@ -197,7 +197,7 @@
     return true;
   }
 
-  function buildUpdates(nowMs: number): AddressedTelling[] {
+  function buildUpdates(nowMs: number): AddressedLoadUpdate[] {
     if (isAggregator) {
       const text = formatShares(reporters.size > 0 ? loads.listFleet(nowMs) : loads.listOwn(nowMs));
       return isDue(text) ? buildAggregatorUpdates(nowMs) : [];
@@ -207,7 +207,7 @@
     return [buildUpdate(LOAD_SCOPE.Own, [aggregator.name], own, nowMs)];
   }
 
-  function handleReport({ instance, part, shares }: ReceivedTelling, nowMs: number): void {
+  function handleReport({ instance, part, shares }: ReceivedLoadUpdate, nowMs: number): void {
     const source = `${instance}/${part}`;
     const sources = new Set([...(reporters.get(instance)?.sources ?? []), source]);
     reporters.set(instance, { heardMs: nowMs, sources });
@@ -217,7 +217,7 @@
   }
 
   function handleGroupLoad(
-    { instance, dataCentre, part, shares }: ReceivedTelling,
+    { instance, dataCentre, part, shares }: ReceivedLoadUpdate,
     nowMs: number,
   ): void {
     aggregatorsHeardMs.set(instance, nowMs);
@@ -225,7 +225,7 @@
     remote.set(`${instance}/${part}`, shares, dataCentre === self.dataCentre, nowMs);
   }
 
-  function handleFleetLoad(update: ReceivedTelling, nowMs: number): void {
+  function handleFleetLoad(update: ReceivedLoadUpdate, nowMs: number): void {
     const { instance, part, shares, heardDataCentres } = update;
     if (isAggregator || instance !== aggregator?.name) return;
     aggregatorHeardMs = nowMs;
--- a/src/load-sharing/load-telling.ts
+++ b/src/load-sharing/load-update.ts
@@ -1,5 +1,5 @@
 /** Load updates that instances send each other. */
-import type { EndpointShareOfLoad } from '../placement/told-loads.js';
+import type { EndpointLoadShare } from '../placement/remote-loads.js';
 
 /** Whose load an update holds. */
 export const LOAD_SCOPE = {
@@ -12,20 +12,20 @@
 } as const;
 export type LoadScope = (typeof LOAD_SCOPE)[keyof typeof LOAD_SCOPE];
 
-export interface LoadTelling {
+export interface LoadUpdate {
   readonly scope: LoadScope;
-  readonly shares: readonly EndpointShareOfLoad[];
+  readonly shares: readonly EndpointLoadShare[];
   /** Data centres that the sender has heard from recently. */
   readonly heardDataCentres: readonly string[];
 }
 
 /** An update and the addresses it is sent to. */
-export interface AddressedTelling extends LoadTelling {
+export interface AddressedLoadUpdate extends LoadUpdate {
   readonly addresses: readonly string[];
 }
 
 /** One datagram of an update, as received. */
-export interface ReceivedTelling extends LoadTelling {
+export interface ReceivedLoadUpdate extends LoadUpdate {
   readonly instance: string;
   readonly dataCentre: string;
   /** Index of the datagram among those of its update. */
--- a/src/node/caller-api.ts
+++ b/src/node/caller-api.ts
@@ -3,7 +3,7 @@
 import express from 'express';
 import type { ErrorRequestHandler, Express, Request, RequestHandler, Response } from 'express';
 import type { OrganisationLimiter, PeerDemand } from '../limits/organisation-limits.js';
-import { REPEATABILITY } from '../requests/life-messages.js';
+import { REPEATABILITY } from '../requests/request-messages.js';
 import type { AnswerSink, RoutedRequest, Work } from '../requests/routed-request.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import type {
--- a/src/node/check-request.ts
+++ b/src/node/check-request.ts
@@ -1,7 +1,7 @@
 /** Checks what a caller sent, each fault with its remedy. */
 import { z } from 'zod';
-import { REPEATABILITY } from '../requests/life-messages.js';
-import type { Repeatability } from '../requests/life-messages.js';
+import { REPEATABILITY } from '../requests/request-messages.js';
+import type { Repeatability } from '../requests/request-messages.js';
 import type {
   ClassDeclaration,
   Declarations,
--- a/src/node/control-runner.ts
+++ b/src/node/control-runner.ts
@@ -6,8 +6,8 @@
 import { z } from 'zod';
 import type { Shard } from '../admission/shard-map.js';
 import { createLease } from '../leases/lease.js';
-import { resolveLease } from '../leases/lease-document.js';
-import type { Lease, LeaseCommand, LeaseMessage, Moment } from '../leases/lease.js';
+import { applyLeaseDefaults } from '../leases/lease-document.js';
+import type { Lease, LeaseCommand, LeaseMessage, ClockReading } from '../leases/lease.js';
 import type { LeaseDocument } from '../leases/lease-document.js';
 import { ORDER_FLIGHT_MS, ORDER_LEASE } from '../orders/order-lease.js';
 import { createReconciler } from '../orders/reconciler.js';
@@ -62,7 +62,7 @@
 export function createControlRunner(options: ControlRunnerOptions): ControlRunner {
   const { self, table, endpoints, timers, metrics, logger } = options;
   const controls = new Map<string, ShardControl>();
-  const getMoment = (): Moment => ({
+  const getMoment = (): ClockReading => ({
     monotonicMs: timers.clock.monotonicMs(),
     wallMs: timers.clock.wallMs(),
   });
@@ -71,7 +71,7 @@
     const known = controls.get(shard);
     if (known !== undefined) return known;
     const control = {
-      lease: createLease({ holder: self, bounds: ORDER_LEASE, createWriteId: randomUUID }),
+      lease: createLease({ holder: self, timings: ORDER_LEASE, createWriteId: randomUUID }),
       reconciler: createReconciler(),
       reports: [],
     };
@@ -89,7 +89,7 @@
     const found = item.val;
     return {
       kind: 'read',
-      lease: found === undefined ? undefined : resolveLease(found.version, found.document),
+      lease: found === undefined ? undefined : applyLeaseDefaults(found.version, found.document),
       newestVersion: 0,
     };
   }
@@ -110,14 +110,14 @@
       return {
         kind: 'written',
         writeId,
-        ending: { kind: 'written', version: expectedVersion + 1 },
+        result: { kind: 'written', version: expectedVersion + 1 },
       };
     }
     const isConflict = written.val.kind === PLATFORM_FAILURE.Conflict;
-    const ending = isConflict
+    const result = isConflict
       ? ({ kind: 'conflict', lease: undefined } as const)
       : ({ kind: 'lost' } as const);
-    return { kind: 'written', writeId, ending };
+    return { kind: 'written', writeId, result };
   }
 
   async function runLeaseCommand(shard: string, command: LeaseCommand): Promise<void> {
--- a/src/node/endpoint-client.ts
+++ b/src/node/endpoint-client.ts
@@ -7,7 +7,7 @@
 import { Pool } from 'undici';
 import type { Dispatcher } from 'undici';
 import type { EndpointDeclaration } from '../types/declarations.js';
-import type { AttemptEnding } from '../requests/life-messages.js';
+import type { AttemptEnding } from '../requests/request-messages.js';
 
 const CONNECT_TIMEOUT_MS = 800;
 const CONNECTIONS_MAX = 512;
--- a/src/node/fleet-view.ts
+++ b/src/node/fleet-view.ts
@@ -183,7 +183,7 @@
     getPeerDemand() {
       const others = listServing().filter((fact) => fact.subject !== self.name);
       return {
-        entries: others.length + 1,
+        instances: others.length + 1,
         getDemand: (organisation) =>
           others.reduce((sum, fact) => {
             const share = fact.demand.find((entry) => entry.organisation === organisation);
--- a/src/node/independent-broker.ts
+++ b/src/node/independent-broker.ts
@@ -49,7 +49,7 @@
 
   return {
     request(request, listener) {
-      grantAtOnce(request.ticketId, request.pool, request.excluded, listener);
+      grantAtOnce(request.ticketId, request.pool, request.excludedEndpoints, listener);
     },
     cancel: () => undefined,
     release(ticketId) {
--- a/src/node/request-runner.ts
+++ b/src/node/request-runner.ts
@@ -1,16 +1,16 @@
 /** Carries out what requests' lives ask for: claims, slots, attempts, answers. */
 import type Emittery from 'emittery';
-import { createPaceEstimator } from '../attempts/pace-estimator.js';
-import type { PaceEstimator } from '../attempts/pace-estimator.js';
+import { createLatencyEstimator } from '../attempts/latency-estimator.js';
+import type { LatencyEstimator } from '../attempts/latency-estimator.js';
 import { createRetryBudget } from '../attempts/retry-budget.js';
 import type { RetryBudget } from '../attempts/retry-budget.js';
 import { CLAIM_STATE } from '../claims/claim-document.js';
 import type { StoredAnswer } from '../claims/claim-document.js';
 import { SlotEnding } from '../gen/peer_pb.js';
-import { createRequestLife } from '../requests/request-life.js';
-import { REPEATABILITY } from '../requests/life-messages.js';
-import type { RequestLife } from '../requests/request-life.js';
-import type { LifeCommand, LifeMessage } from '../requests/life-messages.js';
+import { createRequestStateMachine } from '../requests/request-state-machine.js';
+import { REPEATABILITY } from '../requests/request-messages.js';
+import type { RequestStateMachine } from '../requests/request-state-machine.js';
+import type { RequestCommand, RequestMessage } from '../requests/request-messages.js';
 import type { AnswerEnd, AnswerSink, RoutedRequest } from '../requests/routed-request.js';
 import { createLengthEstimator } from '../routing/length-estimator.js';
 import type { Invariants } from '../runtime/invariants.js';
@@ -65,7 +65,7 @@
 
 interface Run {
   readonly request: RoutedRequest;
-  readonly life: RequestLife;
+  readonly stateMachine: RequestStateMachine;
   readonly sink: AnswerSink;
   readonly startedMs: number;
   cancelAttempt: (() => void) | undefined;
@@ -91,12 +91,12 @@
   const { broker, endpoints, claims, timers, invariants, metrics, events } = options;
   const runs = new Map<string, Run>();
   const lengths = createLengthEstimator();
-  const paces = new Map<string, PaceEstimator>();
+  const paces = new Map<string, LatencyEstimator>();
   const budgets = new Map<string, RetryBudget>();
   const getNow = (): number => timers.clock.monotonicMs();
 
-  function getPace(pool: string): PaceEstimator {
-    const pace = paces.get(pool) ?? createPaceEstimator();
+  function getPace(pool: string): LatencyEstimator {
+    const pace = paces.get(pool) ?? createLatencyEstimator();
     paces.set(pool, pace);
     return pace;
   }
@@ -164,7 +164,7 @@
       attemptId: request.requestId,
       bodyHash: request.bodyHash,
     });
-    const isLate = run.life.isEnded();
+    const isLate = run.stateMachine.isEnded();
     switch (ending.kind) {
       case 'held':
         run.claim = ending.claim;
@@ -184,7 +184,7 @@
     }
   }
 
-  function runAcquire(run: Run, command: Extract<LifeCommand, { kind: 'acquire' }>): void {
+  function runAcquire(run: Run, command: Extract<RequestCommand, { kind: 'acquire' }>): void {
     const { request } = run;
     const className = request.classDeclaration.name;
     const expected =
@@ -197,13 +197,13 @@
         pool: request.pool.name,
         className,
         organisation: request.organisation.name,
-        expectedTokens: Math.max(1, expected - run.life.countDelivered()),
+        expectedTokens: Math.max(1, expected - run.stateMachine.countDelivered()),
         expiresMs: request.deadlineMs,
         requestedMs: getNow(),
         prefixHash: request.prefixHash,
         preemptible:
           request.work.kind === 'completion' && request.repeatability === REPEATABILITY.Repeatable,
-        excluded: command.excluded,
+        excludedEndpoints: command.excluded,
         isResumed: command.isResumed,
       },
       {
@@ -263,7 +263,7 @@
     };
   }
 
-  function runDispatch(run: Run, command: Extract<LifeCommand, { kind: 'dispatch' }>): void {
+  function runDispatch(run: Run, command: Extract<RequestCommand, { kind: 'dispatch' }>): void {
     const { request } = run;
     const { attemptId, offset, delivered } = command;
     const endpoint = findEndpoint(run, command.endpoint);
@@ -303,9 +303,9 @@
     run.lastFrameMs = nowMs;
   }
 
-  function runRelease(run: Run, command: Extract<LifeCommand, { kind: 'release' }>): void {
+  function runRelease(run: Run, command: Extract<RequestCommand, { kind: 'release' }>): void {
     const { kind, ticketId, endpoint, firstFrameMs, ...use } = command;
-    if (firstFrameMs > 0) getPace(run.request.pool.name).recordFirst(firstFrameMs);
+    if (firstFrameMs > 0) getPace(run.request.pool.name).recordFirstFrame(firstFrameMs);
     if (use.ending === SlotEnding.STALLED) recordDecision(run, 'stalled', { endpoint });
     broker.release(ticketId, { ...use, firstTokenMs: firstFrameMs });
   }
@@ -315,7 +315,7 @@
     const className = request.classDeclaration.name;
     runs.delete(request.requestId);
     run.claim?.settle(CLAIM_STATE.Done, buildStoredAnswer(run, frames));
-    getBudget(request.pool.name, className).record();
+    getBudget(request.pool.name, className).recordSuccess();
     if (request.work.kind === 'completion') {
       lengths.record(className, request.organisation.name, frames);
     }
@@ -327,7 +327,7 @@
     );
   }
 
-  function runFail(run: Run, command: Extract<LifeCommand, { kind: 'fail' }>): void {
+  function runFail(run: Run, command: Extract<RequestCommand, { kind: 'fail' }>): void {
     const { failure } = command;
     const { requestId, classDeclaration } = run.request;
     runs.delete(requestId);
@@ -338,12 +338,15 @@
       type: failure.type,
       outcome: failure.outcome,
     });
-    metrics.count(METRIC.TokensWasted, run.life.countDelivered() + run.life.countWasted());
+    metrics.count(
+      METRIC.TokensWasted,
+      run.stateMachine.countDelivered() + run.stateMachine.countWasted(),
+    );
     recordDecision(run, isNotRun ? 'refused' : 'failed', { detail: failure.type });
     run.sink.onFailure(failure);
   }
 
-  function runCommand(run: Run, command: LifeCommand): void {
+  function runCommand(run: Run, command: RequestCommand): void {
     switch (command.kind) {
       case 'claim':
         runClaim(run).catch(() => {
@@ -388,8 +391,8 @@
     }
   }
 
-  function handleMessage(run: Run, message: LifeMessage): void {
-    for (const command of run.life.handle(message, getNow())) runCommand(run, command);
+  function handleMessage(run: Run, message: RequestMessage): void {
+    for (const command of run.stateMachine.handle(message, getNow())) runCommand(run, command);
   }
 
   let tickedMs = getNow();
@@ -401,7 +404,7 @@
   });
   timers.subscribe(PROGRESS_MS, () => {
     for (const run of runs.values()) {
-      const progress = run.life.getProgress();
+      const progress = run.stateMachine.getProgress();
       if (progress !== undefined) {
         broker.update(progress.ticketId, progress.tokens, progress.stepMs);
       }
@@ -413,20 +416,20 @@
       const pace = getPace(request.pool.name);
       const budget = getBudget(request.pool.name, request.classDeclaration.name);
       const isUnbounded = request.work.kind === 'service' || !options.hasStallChecks;
-      const life = createRequestLife({
+      const stateMachine = createRequestStateMachine({
         requestId: request.requestId,
         repeatability: request.repeatability,
         deadlineMs: request.deadlineMs,
         invariants,
         // A plain service answers in one piece of unknown length: only its deadline bounds it.
-        getFirstBound: () => (isUnbounded ? Infinity : pace.computeFirstBound()),
-        getGapBound: () => (isUnbounded ? Infinity : pace.computeGapBound()),
+        getFirstFrameTimeoutMs: () => (isUnbounded ? Infinity : pace.computeFirstFrameTimeout()),
+        getFrameGapTimeoutMs: () => (isUnbounded ? Infinity : pace.computeGapTimeout()),
         takeRetry: () => budget.take(),
         takeClaim: () => run.claim?.take() === true,
       });
       const run: Run = {
         request,
-        life,
+        stateMachine,
         sink,
         startedMs: getNow(),
         cancelAttempt: undefined,
--- a/src/node/slot-broker-types.ts
+++ b/src/node/slot-broker-types.ts
@@ -1,7 +1,7 @@
 /** What any way of finding slots for an entry's requests offers. */
-import type { LiveEntry, Shard } from '../admission/shard-map.js';
+import type { LiveInstance, Shard } from '../admission/shard-map.js';
 import type { ShardView } from '../admission/owner-messages.js';
-import type { HeldGrant, SlotRequest, SlotUse } from '../admission/desk-messages.js';
+import type { HeldGrant, SlotRequest, SlotUse } from '../admission/ticket-client-messages.js';
 import type { Refusal } from '../admission/ticket.js';
 import type { Declarations } from '../types/declarations.js';
 import type { PeerBody } from '../types/peer-messages.js';
@@ -36,7 +36,7 @@
   update(ticketId: string, tokens: number, stepMs: number): void;
   handle(from: string, body: AdmissionBody): void;
   setDeclarations(declarations: Declarations): void;
-  setLive(entries: readonly LiveEntry[]): void;
+  setLive(entries: readonly LiveInstance[]): void;
   removeMember(member: string): void;
   setLeaving(endpoint: string, isLeaving: boolean): void;
   /** What looking at an endpoint brought. */
--- a/src/node/slot-broker.ts
+++ b/src/node/slot-broker.ts
@@ -2,12 +2,15 @@
  * Joins this entry's ticket desk with the shards it owns for the moment, and moves their messages:
  * to itself by a call, to peers by the outbox.
  */
-import { buildRoutes, buildShards } from '../admission/shard-map.js';
-import type { LiveEntry, Shard } from '../admission/shard-map.js';
+import { buildShardRoutes, buildShards } from '../admission/shard-map.js';
+import type { LiveInstance, Shard } from '../admission/shard-map.js';
 import { createShardOwner } from '../admission/shard-owner.js';
 import type { OwnerMessage, ShardOwner } from '../admission/owner-messages.js';
-import { createTicketDesk } from '../admission/ticket-desk.js';
-import type { DeskCommand, DeskMessage } from '../admission/desk-messages.js';
+import { createTicketClient } from '../admission/ticket-client.js';
+import type {
+  TicketClientCommand,
+  TicketClientMessage,
+} from '../admission/ticket-client-messages.js';
 import { METRIC } from '../runtime/metrics.js';
 import type { Metrics } from '../runtime/metrics.js';
 import type { Invariants } from '../runtime/invariants.js';
@@ -27,7 +30,7 @@
 
 /** Settings of a broker. */
 export interface SlotBrokerOptions {
-  readonly self: LiveEntry;
+  readonly self: LiveInstance;
   readonly timers: TimerService;
   readonly random: Random;
   readonly invariants: Invariants;
@@ -39,12 +42,12 @@
 /** Builds a broker without a configuration. */
 export function createSlotBroker(options: SlotBrokerOptions): SlotBroker {
   const { self, timers, random, invariants, metrics } = options;
-  const desk = createTicketDesk(random);
+  const desk = createTicketClient(random);
   const owners = new Map<string, ShardOwner>();
   const listeners = new Map<string, SlotListener>();
   const leaving = new Set<string>();
   let declarations: Declarations | undefined;
-  let live: readonly LiveEntry[] = [self];
+  let live: readonly LiveInstance[] = [self];
   let shards: readonly Shard[] = [];
   let hasOwnedBefore = false;
 
@@ -62,7 +65,7 @@
     if (owner !== undefined) sendAll(owner.handle(message, getNow()));
   }
 
-  function applyCommand(command: DeskCommand): void {
+  function applyCommand(command: TicketClientCommand): void {
     switch (command.kind) {
       case 'send':
         sendAll([command.message]);
@@ -86,7 +89,7 @@
     }
   }
 
-  function runDesk(message: DeskMessage): void {
+  function runDesk(message: TicketClientMessage): void {
     for (const command of desk.handle(message, getNow())) applyCommand(command);
   }
 
@@ -174,7 +177,7 @@
       }
     }
     hasOwnedBefore = true;
-    runDesk({ kind: 'routes', routes: buildRoutes(shards) });
+    runDesk({ kind: 'routes', routes: buildShardRoutes(shards) });
   }
 
   timers.subscribe(DESK_TICK_MS, () => {
@@ -229,7 +232,7 @@
       }
     },
     listOwned: () => shards.filter((shard) => shard.owner === self.name),
-    list: () => [...owners.values()].map((owner) => owner.list()),
+    list: () => [...owners.values()].map((owner) => owner.getView()),
     countPending: () => desk.countPending(),
     countHeld: () => desk.countHeld(),
   };
--- a/src/observability/duty-observer.ts
+++ b/src/observability/duty-observer.ts
@@ -12,8 +12,8 @@
 /** Builds an observer. */
 export function createDutyObserver({ log, metrics }: DutyObserverOptions): DutyObserver {
   return {
-    onHolder: (holder) => log.write({ event: 'duty_holder_changed', ...holder }),
-    onReported({ window, counts }, outcome) {
+    onHolderChanged: (holder) => log.write({ event: 'duty_holder_changed', ...holder }),
+    onUsageReported({ window, counts }, outcome) {
       metrics.recordDuty('usage', outcome);
       log.write({
         event: 'usage_reported',
@@ -23,10 +23,10 @@
         outcome,
       });
     },
-    onOrdered({ dataCentre, ...order }, outcome) {
+    onScaleRequested({ dataCentre, ...order }, outcome) {
       metrics.recordDuty('order', outcome);
       log.write({ event: 'pool_ordered', ...order, inDataCentre: dataCentre, outcome });
     },
-    onFailed: (reason) => log.write({ event: 'duty_failed', reason }),
+    onError: (reason) => log.write({ event: 'duty_failed', reason }),
   };
 }
--- a/src/observability/quarantine-observer.ts
+++ b/src/observability/quarantine-observer.ts
@@ -1,5 +1,5 @@
 /** Turns what the quarantine finds into log lines and metrics. */
-import type { EndpointKey } from '../placement/told-loads.js';
+import type { EndpointKey } from '../placement/remote-loads.js';
 import { STANDING } from '../quarantine/crash-case.js';
 import type { CrashCase } from '../quarantine/crash-case.js';
 import type { QuarantineObserver } from '../quarantine/quarantine.js';
@@ -19,12 +19,12 @@
 export function createQuarantineObserver(options: QuarantineObserverOptions): QuarantineObserver {
   const { log, metrics, getNow } = options;
 
-  function listEndpoints({ strikes }: CrashCase): string[] {
-    return [...strikes.keys()].map((start) => options.findName(start) ?? start.toString(16));
+  function listEndpoints({ crashes }: CrashCase): string[] {
+    return [...crashes.keys()].map((start) => options.findName(start) ?? start.toString(16));
   }
 
-  function computeAgeMs({ strikes }: CrashCase): number {
-    const crashedMs = [...strikes.values()].map((strike) => strike.crashedMs);
+  function computeAgeMs({ crashes }: CrashCase): number {
+    const crashedMs = [...crashes.values()].map((crash) => crash.crashedMs);
     return crashedMs.length === 0 ? 0 : Math.round(getNow() - Math.max(...crashedMs));
   }
 
--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -7,10 +7,10 @@
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { DatagramSchema } from '../gen/peer_pb.js';
 import type { Datagram, PeerMessage, TellLoad } from '../gen/peer_pb.js';
-import type { ToldTime } from '../duties/true-time.js';
-import type { UsageTelling } from '../duties/usage-meter.js';
-import type { AddressedTelling } from '../load-sharing/load-telling.js';
-import type { ToldCase } from '../quarantine/case-ledger.js';
+import type { PeerTime } from '../duties/true-time.js';
+import type { UsageUpdate } from '../duties/usage-meter.js';
+import type { AddressedLoadUpdate } from '../load-sharing/load-update.js';
+import type { CaseReport } from '../quarantine/case-ledger.js';
 import { decodeCases, encodeCases } from './encode-cases.js';
 import { decodeTelling, encodeTelling } from './encode-telling.js';
 import { decodeUsage, encodeUsage } from './encode-usage.js';
@@ -20,13 +20,13 @@
 /** Datagrams to and from peers. */
 export interface Datagrams {
   sendLoads(
-    telling: AddressedTelling,
+    telling: AddressedLoadUpdate,
     knowledge: KnowledgeSummary,
-    time: ToldTime | undefined,
+    time: PeerTime | undefined,
   ): void;
   sendGossip(address: string, body: PeerMessage['body']): void;
-  sendCases(addresses: readonly string[], cases: readonly ToldCase[]): void;
-  sendUsage(addresses: readonly string[], telling: UsageTelling): void;
+  sendCases(addresses: readonly string[], cases: readonly CaseReport[]): void;
+  sendUsage(addresses: readonly string[], telling: UsageUpdate): void;
   close(): void;
 }
 
@@ -40,8 +40,8 @@
   readonly port: number;
   readonly onTold: (told: PeerTelling) => void;
   readonly onGossip: (from: string, body: PeerMessage['body']) => void;
-  readonly onCases: (from: string, cases: readonly ToldCase[]) => void;
-  readonly onUsage: (telling: UsageTelling) => void;
+  readonly onCases: (from: string, cases: readonly CaseReport[]) => void;
+  readonly onUsage: (telling: UsageUpdate) => void;
   /** A peer of a newer release sent something that this one does not know. */
   readonly onUnknown: (field: string, value: string) => void;
   /** A datagram that could not be sent or understood. */
--- a/src/peers/encode-cases.ts
+++ b/src/peers/encode-cases.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { CrashCaseSchema, TellCasesSchema } from '../gen/peer_pb.js';
 import type { CrashCase, TellCases } from '../gen/peer_pb.js';
-import type { ToldCase } from '../quarantine/case-ledger.js';
+import type { CaseReport } from '../quarantine/case-ledger.js';
 
 /** The longest time that fits its field, in milliseconds: 49 days. */
 const AGO_MAX_MS = 2 ** 32 - 1;
@@ -11,41 +11,42 @@
   return Math.min(AGO_MAX_MS, Math.max(0, Math.round(ms)));
 }
 
-function encodeCase({ content, organisation, strikes, cleared, trial }: ToldCase): CrashCase {
+function encodeCase({ content, organisation, crashes, cleared, trial }: CaseReport): CrashCase {
   return create(CrashCaseSchema, {
     content,
     organisation,
-    starts: strikes.map(({ start }) => start),
-    sentAgoMs: strikes.map(({ sentAgoMs }) => encodeMs(sentAgoMs)),
-    crashedAgoMs: strikes.map(({ crashedAgoMs }) => encodeMs(crashedAgoMs)),
+    starts: crashes.map(({ start }) => start),
+    sentAgoMs: crashes.map(({ sentAgoMs }) => encodeMs(sentAgoMs)),
+    crashedAgoMs: crashes.map(({ crashedAgoMs }) => encodeMs(crashedAgoMs)),
     cleared: [...cleared],
     ...(trial === undefined
       ? {}
-      : { trialStart: trial.start, trialLeftMs: encodeMs(trial.leftMs) }),
+      : { trialStart: trial.start, trialLeftMs: encodeMs(trial.remainingMs) }),
   });
 }
 
-function decodeCase(told: CrashCase): ToldCase {
+function decodeCase(told: CrashCase): CaseReport {
   const { content, organisation, cleared, trialStart } = told;
   return {
     content,
     organisation,
-    strikes: told.starts.map((start, index) => ({
+    crashes: told.starts.map((start, index) => ({
       start,
       sentAgoMs: told.sentAgoMs[index] ?? 0,
       crashedAgoMs: told.crashedAgoMs[index] ?? 0,
     })),
     cleared,
-    trial: trialStart === undefined ? undefined : { start: trialStart, leftMs: told.trialLeftMs },
+    trial:
+      trialStart === undefined ? undefined : { start: trialStart, remainingMs: told.trialLeftMs },
   };
 }
 
 /** Builds a telling. */
-export function encodeCases(cases: readonly ToldCase[]): TellCases {
+export function encodeCases(cases: readonly CaseReport[]): TellCases {
   return create(TellCasesSchema, { cases: cases.map(encodeCase) });
 }
 
 /** Reads a telling. */
-export function decodeCases(told: TellCases): ToldCase[] {
+export function decodeCases(told: TellCases): CaseReport[] {
   return told.cases.map(decodeCase);
 }
--- a/src/peers/encode-telling.test.ts
+++ b/src/peers/encode-telling.test.ts
@@ -1,9 +1,9 @@
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
 import fc from 'fast-check';
 import { TellLoadSchema } from '../gen/peer_pb.js';
-import { LOAD_SCOPE } from '../load-sharing/load-telling.js';
-import type { LoadTelling } from '../load-sharing/load-telling.js';
-import type { EndpointShareOfLoad } from '../placement/told-loads.js';
+import { LOAD_SCOPE } from '../load-sharing/load-update.js';
+import type { LoadUpdate } from '../load-sharing/load-update.js';
+import type { EndpointLoadShare } from '../placement/remote-loads.js';
 import { describe } from '../test/describe.js';
 import { decodeTelling, encodeTelling } from './encode-telling.js';
 import type { KnowledgeSummary } from './peer-links.js';
@@ -17,8 +17,8 @@
 const DATAGRAM_BYTES_MAX = 1400;
 
 /** Shares with quantities in the units in which they travel. */
-const TIME = { trueMs: 1_700_000_000_001, hops: 2 };
-const SHARE: fc.Arbitrary<EndpointShareOfLoad> = fc.record({
+const TIME = { fleetMs: 1_700_000_000_001, hops: 2 };
+const SHARE: fc.Arbitrary<EndpointLoadShare> = fc.record({
   endpoint: fc.integer({ min: 0, max: 2 ** 32 - 1 }),
   running: fc.nat(120),
   urgent: fc.nat(60),
@@ -29,7 +29,7 @@
   readMs: fc.nat(5000).map((units) => units * 4),
 });
 
-function sendThrough(telling: LoadTelling) {
+function sendThrough(telling: LoadUpdate) {
   return encodeTelling(telling, 'dc', KNOWLEDGE, TIME).map((load) => {
     const bytes = toBinary(TellLoadSchema, load);
     const told = decodeTelling('i', fromBinary(TellLoadSchema, bytes));
@@ -49,7 +49,7 @@
           heardDataCentres: ['a', 'b'],
         });
         const received = parts.flatMap(({ told }) => told.shares);
-        const compare = (a: EndpointShareOfLoad, b: EndpointShareOfLoad): number =>
+        const compare = (a: EndpointLoadShare, b: EndpointLoadShare): number =>
           a.endpoint - b.endpoint;
         t.deepEqual([...received].sort(compare), [...sent].sort(compare));
         t.deepEqual(
--- a/src/peers/encode-telling.ts
+++ b/src/peers/encode-telling.ts
@@ -2,10 +2,10 @@
 import { create } from '@bufbuild/protobuf';
 import { LoadScope, TellLoadSchema } from '../gen/peer_pb.js';
 import type { TellLoad } from '../gen/peer_pb.js';
-import { LOAD_SCOPE } from '../load-sharing/load-telling.js';
-import type { LoadScope as Scope, LoadTelling } from '../load-sharing/load-telling.js';
-import type { EndpointShareOfLoad } from '../placement/told-loads.js';
-import type { ToldTime } from '../duties/true-time.js';
+import { LOAD_SCOPE } from '../load-sharing/load-update.js';
+import type { LoadScope as Scope, LoadUpdate } from '../load-sharing/load-update.js';
+import type { EndpointLoadShare } from '../placement/remote-loads.js';
+import type { PeerTime } from '../duties/true-time.js';
 import type { KnowledgeSummary } from './peer-links.js';
 import type { PeerTelling } from './peer-telling.js';
 
@@ -41,30 +41,30 @@
 /** Time and hops share one number: the hops are what is left of a division by this. */
 const HOPS_UNIT = 4;
 
-function encodeTime({ trueMs, hops }: ToldTime): number {
-  return Math.floor(trueMs) * HOPS_UNIT + hops;
+function encodeTime({ fleetMs, hops }: PeerTime): number {
+  return Math.floor(fleetMs) * HOPS_UNIT + hops;
 }
 
-function decodeTime(value: number): ToldTime {
-  return { trueMs: Math.floor(value / HOPS_UNIT), hops: value % HOPS_UNIT };
+function decodeTime(value: number): PeerTime {
+  return { fleetMs: Math.floor(value / HOPS_UNIT), hops: value % HOPS_UNIT };
 }
 
 /** An endpoint stays in its part from telling to telling: what a part does not name has nothing. */
 function listPart(
-  shares: readonly EndpointShareOfLoad[],
+  shares: readonly EndpointLoadShare[],
   part: number,
   parts: number,
-): readonly EndpointShareOfLoad[] {
+): readonly EndpointLoadShare[] {
   if (parts === 1) return shares;
   return shares.filter(({ endpoint }) => Math.floor((endpoint / HASHES) * parts) === part);
 }
 
 /** Builds the datagrams of one telling. */
 export function encodeTelling(
-  { scope, shares, heardDataCentres }: LoadTelling,
+  { scope, shares, heardDataCentres }: LoadUpdate,
   dataCentre: string,
   { configurationRevision, endpointsRevision, confirmedAtMs }: KnowledgeSummary,
-  time: ToldTime | undefined,
+  time: PeerTime | undefined,
 ): TellLoad[] {
   const parts = Math.max(1, Math.ceil(shares.length / SHARES_MAX));
   return Array.from({ length: parts }, (_, part) => {
--- a/src/peers/encode-usage.ts
+++ b/src/peers/encode-usage.ts
@@ -1,7 +1,7 @@
 /** Counts of calls in the form in which they travel, split where they outgrow a datagram. */
 import { create } from '@bufbuild/protobuf';
-import type { UsageShare } from '../duties/usage-ledger.js';
-import type { UsageTelling } from '../duties/usage-meter.js';
+import type { WindowCounts } from '../duties/usage-ledger.js';
+import type { UsageUpdate } from '../duties/usage-meter.js';
 import { TellUsageSchema } from '../gen/peer_pb.js';
 import type { TellUsage } from '../gen/peer_pb.js';
 
@@ -9,14 +9,14 @@
 const COUNTS_MAX = 90;
 
 /** Parts of shares with at most so many counts together; one without any where there are none. */
-function listParts(shares: readonly UsageShare[]): UsageShare[][] {
-  const pieces = shares.flatMap(({ window, counts }) =>
+function listParts(windows: readonly WindowCounts[]): WindowCounts[][] {
+  const pieces = windows.flatMap(({ window, counts }) =>
     Array.from({ length: Math.max(1, Math.ceil(counts.length / COUNTS_MAX)) }, (_, index) => ({
       window,
       counts: counts.slice(index * COUNTS_MAX, (index + 1) * COUNTS_MAX),
     })),
   );
-  const parts: UsageShare[][] = [[]];
+  const parts: WindowCounts[][] = [[]];
   let held = 0;
   for (const piece of pieces) {
     if (held + piece.counts.length > COUNTS_MAX) {
@@ -30,12 +30,12 @@
 }
 
 /** Builds the datagrams of one telling; how far the counts reach is said by the last, once all are on their way. */
-export function encodeUsage({ source, reachedMs, shares }: UsageTelling): TellUsage[] {
-  const parts = listParts(shares);
+export function encodeUsage({ source, watermarkMs, windows }: UsageUpdate): TellUsage[] {
+  const parts = listParts(windows);
   return parts.map((part, index) =>
     create(TellUsageSchema, {
       incarnation: source.incarnation,
-      reachedMs: index === parts.length - 1 ? reachedMs : 0,
+      reachedMs: index === parts.length - 1 ? watermarkMs : 0,
       windows: part.map(({ window, counts }) => ({
         window,
         organisations: counts.map(({ organisation }) => organisation),
@@ -46,11 +46,11 @@
 }
 
 /** Reads one datagram. */
-export function decodeUsage(instance: string, told: TellUsage): UsageTelling {
+export function decodeUsage(instance: string, told: TellUsage): UsageUpdate {
   return {
     source: { instance, incarnation: told.incarnation },
-    reachedMs: told.reachedMs,
-    shares: told.windows.map(({ window, organisations, counts }) => ({
+    watermarkMs: told.reachedMs,
+    windows: told.windows.map(({ window, organisations, counts }) => ({
       window,
       counts: organisations.map((organisation, index) => ({
         organisation,
--- a/src/peers/peer-telling.ts
+++ b/src/peers/peer-telling.ts
@@ -1,11 +1,11 @@
 /** What one instance tells others in datagrams: loads, and what it knows of the source's tables. */
-import type { ReceivedTelling } from '../load-sharing/load-telling.js';
-import type { ToldTime } from '../duties/true-time.js';
+import type { ReceivedLoadUpdate } from '../load-sharing/load-update.js';
+import type { PeerTime } from '../duties/true-time.js';
 import type { KnowledgeSummary } from './peer-links.js';
 
 /** A telling as it came from a peer. */
-export interface PeerTelling extends ReceivedTelling {
+export interface PeerTelling extends ReceivedLoadUpdate {
   readonly knowledge: KnowledgeSummary;
   /** Undefined where the peer does not know. */
-  readonly time: ToldTime | undefined;
+  readonly time: PeerTime | undefined;
 }
--- a/src/placement/choose-endpoint.test.ts
+++ b/src/placement/choose-endpoint.test.ts
@@ -39,7 +39,7 @@
     endpoints: ['a', 'b', 'c', 'd', 'e', 'f'].map((id) => buildEndpoint(id)),
     prompt: undefined,
     excluded: [],
-    isUnreachable: () => false,
+    isDataCentreUnreachable: () => false,
     isAvoided: () => false,
     loads: createTrainedLoads(),
     random: createRandom(7),
@@ -264,10 +264,13 @@
     // The endpoints of an unreachable data centre are still registered.
     it('skips unreachable data centres while there are other endpoints', (t) => {
       const endpoints = [buildEndpoint('near'), buildEndpoint('far', 'cut')];
-      const isUnreachable = (dataCentre: string): boolean => dataCentre === 'cut';
-      t.is(chooseEndpoint(buildInput({ endpoints, isUnreachable }))?.endpoint.id, 'near');
+      const isDataCentreUnreachable = (dataCentre: string): boolean => dataCentre === 'cut';
+      t.is(chooseEndpoint(buildInput({ endpoints, isDataCentreUnreachable }))?.endpoint.id, 'near');
       const excluded = ['near'];
-      t.is(chooseEndpoint(buildInput({ endpoints, isUnreachable, excluded }))?.endpoint.id, 'far');
+      t.is(
+        chooseEndpoint(buildInput({ endpoints, isDataCentreUnreachable, excluded }))?.endpoint.id,
+        'far',
+      );
     });
 
     // A crashed endpoint stays registered for some seconds.
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -54,7 +54,7 @@
   /** Ids of endpoints already tried for this call. */
   readonly excluded: readonly string[];
   /** Whether a data centre is currently unreachable. */
-  readonly isUnreachable: (dataCentre: string) => boolean;
+  readonly isDataCentreUnreachable: (dataCentre: string) => boolean;
   /** Whether an endpoint should be used only if there is no other. */
   readonly isAvoided: (endpoint: RegisteredEndpoint) => boolean;
   readonly loads: EndpointLoads;
@@ -80,7 +80,9 @@
   const { endpoints, excluded, loads, nowMs } = input;
   const untried = endpoints.filter(({ id }) => !excluded.includes(id));
   const dataCentres = new Set(untried.map(({ dataCentre }) => dataCentre));
-  const unreachable = [...dataCentres].filter((dataCentre) => input.isUnreachable(dataCentre));
+  const unreachable = [...dataCentres].filter((dataCentre) =>
+    input.isDataCentreUnreachable(dataCentre),
+  );
   const reachable = untried.filter(({ dataCentre }) => !unreachable.includes(dataCentre));
   const healthy = reachable.filter(({ startId }) => !loads.isSuspect(startId, nowMs));
   const preferred = healthy.filter((endpoint) => !input.isAvoided(endpoint));
@@ -139,9 +141,10 @@
 }
 
 function buildPromptChoice(input: ChoiceInput, pool: string, cost: PromptCost): PromptChoice {
-  const timing = input.loads.getPoolPace(pool);
+  const timing = input.loads.getPoolTiming(pool);
   const tokens = Math.max(1, cost.sharedTokens + cost.ownTokens);
-  const msPerToken = timing.reading?.msPerToken ?? (input.targetMs * ASSUMED_READ_SHARE) / tokens;
+  const msPerToken =
+    timing.prefillSpeed?.msPerToken ?? (input.targetMs * ASSUMED_READ_SHARE) / tokens;
   const rereadMs = cost.sharedTokens * msPerToken * PREFIX_MISS_WEIGHT;
   return { ...cost, input, timing, msPerToken, rereadMs };
 }
--- a/src/placement/endpoint-loads.ts
+++ b/src/placement/endpoint-loads.ts
@@ -17,8 +17,8 @@
 import type { PauseModel } from './stream-pace.js';
 import { createStreamTimes } from './stream-times.js';
 import type { StreamRecord } from './stream-times.js';
-import { createRemoteLoads, hashStart, mergeShares } from './told-loads.js';
-import type { EndpointKey, EndpointShareOfLoad, FleetLoad, RemoteLoads } from './told-loads.js';
+import { createRemoteLoads, hashStartId, mergeShares } from './remote-loads.js';
+import type { EndpointKey, EndpointLoadShare, FleetLoad, RemoteLoads } from './remote-loads.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 
 /** Consecutive failures after which an endpoint is suspect. */
@@ -53,7 +53,7 @@
 /** Timing estimates for a pool's engines. */
 export interface PoolTiming {
   /** Undefined until enough prompts have been read. */
-  readonly reading: PrefillSpeed | undefined;
+  readonly prefillSpeed: PrefillSpeed | undefined;
   /**
    * Mean time from sending a call to the end of its answer, in milliseconds; 0 before the first.
    */
@@ -69,16 +69,16 @@
   /** Load from all reachable instances, including this one. */
   get(id: string): FleetLoad;
   /** Load and recent outcomes of this instance's calls, for load updates. */
-  listOwn(nowMs: number): EndpointShareOfLoad[];
+  listOwn(nowMs: number): EndpointLoadShare[];
   /** The same for all reachable instances, including this one. */
-  listFleet(nowMs: number): EndpointShareOfLoad[];
+  listFleet(nowMs: number): EndpointLoadShare[];
   /** Loads reported by other instances. */
   readonly remote: Omit<RemoteLoads, 'get' | 'list' | 'listFrom'>;
   /** Recent failure rate of the endpoint, 0 to 1. */
   getFailureRate(id: string, nowMs: number): number;
   /** Time the endpoint takes to read prompts, relative to its pool; 1 while unknown. */
   getSlowdown(endpoint: RegisteredEndpoint, nowMs: number): number;
-  getPoolPace(pool: string): PoolTiming;
+  getPoolTiming(pool: string): PoolTiming;
   /**
    * Mean pause between stream events at an engine with `running` calls, in milliseconds; undefined
    * while unknown.
@@ -133,7 +133,7 @@
   function getKey(id: string): EndpointKey {
     const known = keys.get(id);
     if (known !== undefined) return known;
-    const key = hashStart(id);
+    const key = hashStartId(id);
     keys.set(id, key);
     return key;
   }
@@ -147,11 +147,7 @@
     };
   }
 
-  function buildShare(
-    id: string,
-    state: LoadState,
-    nowMs: number,
-  ): EndpointShareOfLoad | undefined {
+  function buildShare(id: string, state: LoadState, nowMs: number): EndpointLoadShare | undefined {
     const { running, urgent, unreadTokens } = state;
     const { answers, failures } = state.failures.read(nowMs);
     const { readTokens, readMs } = state.prefill.read(nowMs);
@@ -281,7 +277,7 @@
     };
   }
 
-  function listOwn(nowMs: number): EndpointShareOfLoad[] {
+  function listOwn(nowMs: number): EndpointLoadShare[] {
     return [...states]
       .map(([id, state]) => buildShare(id, state, nowMs))
       .filter((share) => share !== undefined);
@@ -304,10 +300,10 @@
       const speed = getPool(pool).prefillFit.get();
       return speed === undefined ? 1 : computeSlowdown(readPrefill(startId, nowMs), speed);
     },
-    getPoolPace(name) {
+    getPoolTiming(name) {
       const { prefillFit, runMs, pauses } = getPool(name);
       return {
-        reading: prefillFit.get(),
+        prefillSpeed: prefillFit.get(),
         meanRunMs: runMs.get(0),
         pauseMsPerCall: pauses.getMsPerCall(),
       };
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -23,7 +23,7 @@
   route: buildPlayedRoute('draft', { priority: 1 }),
   pool: ENGINE.pool,
   organisation: undefined,
-  isKeyed: false,
+  isAuthenticated: false,
   urgency: 1,
   prompt: { model: 'm', inputTokens: 10, outputTokensMax: 10, parts: [{ id: 'x', tokens: 10 }] },
   payload: { method: 'POST', target: '/', headers: [], body: Buffer.alloc(0) },
@@ -42,7 +42,7 @@
       random: createRandom(1),
       listOpen: () => [ENGINE],
       getStanding: () => ({ rank: 1, ranks: 3, nextPauseMs: Infinity, urgentPauseMs: 250 }),
-      isCut: () => false,
+      isDataCentreUnreachable: () => false,
       isAvoided: () => false,
     });
     const placement = { endpoint: ENGINE, readTokens: 10 };
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -3,7 +3,7 @@
  * and sizes of calls that are sent. Performs no I/O.
  */
 import type { RoutedCall } from '../calls/call-messages.js';
-import type { RouteStanding } from '../routes/route-standing.js';
+import type { RouteRank } from '../routes/route-rank.js';
 import type { RegisteredEndpoint, Route } from '../types/traffic.js';
 import type { Random } from '../utils/random.js';
 import { chooseEndpoint } from './choose-endpoint.js';
@@ -22,9 +22,9 @@
   readonly random: Random;
   readonly listOpen: (pool: string) => readonly RegisteredEndpoint[];
   /** Rank of a route among the routes that stream from the pool. */
-  readonly getStanding: (route: Route, pool: string) => RouteStanding;
+  readonly getStanding: (route: Route, pool: string) => RouteRank;
   /** Whether a data centre is currently unreachable. */
-  readonly isCut: (dataCentre: string) => boolean;
+  readonly isDataCentreUnreachable: (dataCentre: string) => boolean;
   /** Whether an endpoint should be used only if there is no other. */
   readonly isAvoided: (endpoint: RegisteredEndpoint) => boolean;
 }
@@ -92,14 +92,14 @@
     const input: ReserveInput = {
       endpoints: options.listOpen(call.pool),
       countUrgent: (startId) => loads.get(startId).urgent,
-      pauseMsPerCall: loads.getPoolPace(call.pool).pauseMsPerCall,
+      pauseMsPerCall: loads.getPoolTiming(call.pool).pauseMsPerCall,
       urgentPauseMs: computeUrgentPauseMs(call),
     };
     return reserves.choose(call.pool, input, nowMs);
   }
 
   function computeReadMs(pool: string, tokens: number): number {
-    return tokens * (loads.getPoolPace(pool).reading?.msPerToken ?? 0);
+    return tokens * (loads.getPoolTiming(pool).prefillSpeed?.msPerToken ?? 0);
   }
 
   function recordStream(call: RoutedCall, endpoint: string, stream: StreamRecord): void {
@@ -119,7 +119,7 @@
       const prompt = isCrashSuspect ? undefined : call.prompt;
       const placement = chooseEndpoint({
         endpoints: options.listOpen(pool),
-        isUnreachable: options.isCut,
+        isDataCentreUnreachable: options.isDataCentreUnreachable,
         isAvoided: options.isAvoided,
         prompt,
         excluded: tried,
@@ -156,7 +156,7 @@
       });
     },
     predictAnswerMs({ route, pool }) {
-      const { fixedMs = 0 } = loads.getPoolPace(pool).reading ?? {};
+      const { fixedMs = 0 } = loads.getPoolTiming(pool).prefillSpeed ?? {};
       return fixedMs + computeReadMs(pool, sizes.getMeanTokens(route, pool));
     },
     start(call, { endpoint, readTokens }, nowMs) {
--- a/src/placement/reading-pace.test.ts
+++ b/src/placement/reading-pace.test.ts
@@ -49,9 +49,9 @@
     it('is estimated for engines of any speed, apart from the fixed time', (t) => {
       for (const tokensPerMs of [20, 57, 112, 300]) {
         const loads = createEndpointLoads();
-        t.is(loads.getPoolPace('p').reading, undefined);
+        t.is(loads.getPoolTiming('p').prefillSpeed, undefined);
         runPrompts(loads, 'a', tokensPerMs);
-        const speed = loads.getPoolPace('p').reading;
+        const speed = loads.getPoolTiming('p').prefillSpeed;
         t.true(Math.abs(1 / (speed?.msPerToken ?? 1) - tokensPerMs) < tokensPerMs * 0.02);
         t.true(Math.abs((speed?.fixedMs ?? 0) - FIXED_MS) < 3);
       }
@@ -69,7 +69,7 @@
       for (let count = 0; count < 30; count += 1) {
         loads.start(buildEndpoint('a'), 1000 + count * 100, 0).recordEvent(2000);
       }
-      t.is(loads.getPoolPace('p').reading, undefined);
+      t.is(loads.getPoolTiming('p').prefillSpeed, undefined);
     });
   });
 
--- a/src/placement/told-loads.ts
+++ b/src/placement/remote-loads.ts
@@ -22,11 +22,11 @@
 export type EndpointKey = number;
 
 /** One instance's load at an endpoint and the recent outcomes of its calls there. */
-export interface EndpointShareOfLoad extends FleetLoad, FailureCounts, PrefillSums {
+export interface EndpointLoadShare extends FleetLoad, FailureCounts, PrefillSums {
   readonly endpoint: EndpointKey;
 }
 
-export type LoadSums = Omit<EndpointShareOfLoad, 'endpoint'>;
+export type LoadSums = Omit<EndpointLoadShare, 'endpoint'>;
 
 /** Loads by the source that reported them. */
 export interface RemoteLoads {
@@ -36,7 +36,7 @@
    */
   set(
     source: string,
-    shares: readonly EndpointShareOfLoad[],
+    shares: readonly EndpointLoadShare[],
     isSameDataCentre: boolean,
     nowMs: number,
   ): void;
@@ -45,13 +45,13 @@
   removeExpired(nowMs: number, ageMaxMs: number): void;
   get(endpoint: EndpointKey): LoadSums;
   /** Sums of all reported endpoints. */
-  list(): EndpointShareOfLoad[];
+  list(): EndpointLoadShare[];
   /** The source's latest report. */
-  listFrom(source: string): readonly EndpointShareOfLoad[];
+  listFrom(source: string): readonly EndpointLoadShare[];
 }
 
 interface SourceLoads {
-  readonly shares: readonly EndpointShareOfLoad[];
+  readonly shares: readonly EndpointLoadShare[];
   readonly isSameDataCentre: boolean;
   readonly receivedMs: number;
 }
@@ -72,7 +72,7 @@
   readMs: 0,
 };
 
-export function hashStart(startId: string): EndpointKey {
+export function hashStartId(startId: string): EndpointKey {
   return hashName(startId);
 }
 
@@ -88,9 +88,7 @@
 }
 
 /** Sums the shares of several instances by endpoint. */
-export function mergeShares(
-  lists: readonly (readonly EndpointShareOfLoad[])[],
-): EndpointShareOfLoad[] {
+export function mergeShares(lists: readonly (readonly EndpointLoadShare[])[]): EndpointLoadShare[] {
   const sums = new Map<EndpointKey, Entry['sums']>();
   for (const shares of lists) {
     for (const share of shares) {
--- a/src/placement/stream-times.ts
+++ b/src/placement/stream-times.ts
@@ -1,5 +1,5 @@
 /** Measures the pauses between a stream's events. */
-import type { EndpointLoad } from './told-loads.js';
+import type { EndpointLoad } from './remote-loads.js';
 
 /** The longest pause between two events, with the load of the engine when it began. */
 export interface LongestPause extends EndpointLoad {
--- a/src/quarantine/case-ledger.test.ts
+++ b/src/quarantine/case-ledger.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
 import { createCaseLedger } from './case-ledger.js';
-import type { CaseLedger, ContentCrash, ToldCase } from './case-ledger.js';
+import type { CaseLedger, ContentCrash, CaseReport } from './case-ledger.js';
 import { buildCaseReport } from './case-outbox.js';
 import { STANDING, computeStanding } from './crash-case.js';
 import type { CrashCase, Standing } from './crash-case.js';
@@ -33,8 +33,8 @@
 }
 
 /** Describes evidence independently of the order in which it was learned. */
-function describeEvidence({ content, strikes, cleared }: CrashCase): string {
-  const counted = [...strikes.keys()].sort((a, b) => a - b).join(',');
+function describeEvidence({ content, crashes, cleared }: CrashCase): string {
+  const counted = [...crashes.keys()].sort((a, b) => a - b).join(',');
   return `${content}: ${counted} without ${[...cleared].sort((a, b) => a - b).join(',')}`;
 }
 
@@ -111,7 +111,7 @@
           fc.infiniteStream(fc.nat()),
           (events, order) => {
             const sender = createCaseLedger();
-            const reports: ToldCase[] = [];
+            const reports: CaseReport[] = [];
             events.forEach(({ content, start, isRelease }, index) => {
               const nowMs = 1000 * (index + 1);
               if (isRelease) sender.release(content, nowMs);
@@ -178,15 +178,15 @@
         const crash = buildCrash(`own-${count}`, count, 1000, 900);
         ledger.recordCrash({ ...crash, organisation: count % 16 }, 1000);
       }
-      const strikes = [1, 2, 3].map((start) => ({ start, sentAgoMs: 9, crashedAgoMs: 8 }));
-      const report: ToldCase = {
+      const crashes = [1, 2, 3].map((start) => ({ start, sentAgoMs: 9, crashedAgoMs: 8 }));
+      const report: CaseReport = {
         content: 'x',
         organisation: 1,
-        strikes,
+        crashes,
         cleared: [],
         trial: undefined,
       };
-      t.is(ledger.merge({ ...report, strikes: strikes.slice(0, 1) }, 2000), undefined);
+      t.is(ledger.merge({ ...report, crashes: crashes.slice(0, 1) }, 2000), undefined);
       t.is(ledger.merge(report, 2000)?.standing, STANDING.LastTrial);
       t.is(ledger.list().length, 4096);
     });
--- a/src/quarantine/case-ledger.ts
+++ b/src/quarantine/case-ledger.ts
@@ -3,7 +3,7 @@
  * I/O; bounded in size.
  */
 import type { ContentId } from '../calls/content-id.js';
-import type { EndpointKey } from '../placement/told-loads.js';
+import type { EndpointKey } from '../placement/remote-loads.js';
 import { STANDING, computeStanding } from './crash-case.js';
 import type { CrashCase, OrganisationKey, Standing, CrashRecord } from './crash-case.js';
 
@@ -36,16 +36,16 @@
 }
 
 /** A case as instances report it to each other, with times relative to the report. */
-export interface ToldCase {
+export interface CaseReport {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
-  readonly strikes: readonly {
+  readonly crashes: readonly {
     readonly start: EndpointKey;
     readonly sentAgoMs: number;
     readonly crashedAgoMs: number;
   }[];
   readonly cleared: readonly EndpointKey[];
-  readonly trial: { readonly start: EndpointKey; readonly leftMs: number } | undefined;
+  readonly trial: { readonly start: EndpointKey; readonly remainingMs: number } | undefined;
 }
 
 /** A case whose evidence changed, with its standing before and after. */
@@ -68,7 +68,7 @@
    * crash.
    */
   releaseStart(start: EndpointKey, sentMs: number, nowMs: number): CaseChange[];
-  merge(report: ToldCase, nowMs: number): CaseChange | undefined;
+  merge(report: CaseReport, nowMs: number): CaseChange | undefined;
   /** Drops expired cases. */
   advance(nowMs: number): void;
 }
@@ -91,16 +91,16 @@
     if (contents?.size === 0) contentsOfStart.delete(start);
   }
 
-  function removeCase({ content, strikes }: CrashCase): void {
+  function removeCase({ content, crashes }: CrashCase): void {
     cases.delete(content);
-    for (const start of strikes.keys()) removeStart(start, content);
+    for (const start of crashes.keys()) removeStart(start, content);
   }
 
   /** Evicts the case with the fewest crashes; among equals, the least recently used. */
   function removeWeakest(organisation: OrganisationKey | undefined): void {
     const [weakest] = [...cases.values()]
       .filter((other) => organisation === undefined || other.organisation === organisation)
-      .sort((a, b) => a.strikes.size - b.strikes.size || a.lastActiveMs - b.lastActiveMs);
+      .sort((a, b) => a.crashes.size - b.crashes.size || a.lastActiveMs - b.lastActiveMs);
     if (weakest !== undefined) removeCase(weakest);
   }
 
@@ -120,7 +120,7 @@
     const subject: CrashCase = {
       content,
       organisation,
-      strikes: new Map(),
+      crashes: new Map(),
       cleared: new Set(),
       trial: undefined,
       changedMs: nowMs,
@@ -130,17 +130,17 @@
     return subject;
   }
 
-  function addCrash({ content, strikes, cleared }: CrashCase, crash: CrashRecord): boolean {
+  function addCrash({ content, crashes, cleared }: CrashCase, crash: CrashRecord): boolean {
     const { start } = crash;
-    if (strikes.has(start) || cleared.has(start) || strikes.size >= CRASHES_MAX) return false;
-    strikes.set(start, crash);
+    if (crashes.has(start) || cleared.has(start) || crashes.size >= CRASHES_MAX) return false;
+    crashes.set(start, crash);
     const contents = contentsOfStart.get(start) ?? new Set();
     contentsOfStart.set(start, contents.add(content));
     return true;
   }
 
-  function releaseCrash({ content, strikes, cleared }: CrashCase, start: EndpointKey): boolean {
-    if (strikes.delete(start)) removeStart(start, content);
+  function releaseCrash({ content, crashes, cleared }: CrashCase, start: EndpointKey): boolean {
+    if (crashes.delete(start)) removeStart(start, content);
     if (cleared.has(start)) return false;
     cleared.add(start);
     const [oldest] = cleared;
@@ -157,9 +157,9 @@
     return { subject, before, standing: computeStanding(subject) };
   }
 
-  function mergeTrial(subject: CrashCase, { trial }: ToldCase, nowMs: number): void {
+  function mergeTrial(subject: CrashCase, { trial }: CaseReport, nowMs: number): void {
     if (trial === undefined) return;
-    const expiresMs = nowMs + trial.leftMs;
+    const expiresMs = nowMs + trial.remainingMs;
     if (expiresMs > (subject.trial?.expiresMs ?? 0))
       subject.trial = { start: trial.start, expiresMs };
   }
@@ -175,8 +175,8 @@
     },
     release(content, nowMs) {
       const subject = cases.get(content);
-      if (subject === undefined || subject.strikes.size === 0) return undefined;
-      const starts = [...subject.strikes.keys()];
+      if (subject === undefined || subject.crashes.size === 0) return undefined;
+      const starts = [...subject.crashes.keys()];
       return update(subject, nowMs, () =>
         starts.map((start) => releaseCrash(subject, start)).some(Boolean),
       );
@@ -184,19 +184,19 @@
     releaseStart(start, sentMs, nowMs) {
       return [...(contentsOfStart.get(start) ?? [])].flatMap((content) => {
         const subject = cases.get(content);
-        const crash = subject?.strikes.get(start);
+        const crash = subject?.crashes.get(start);
         if (subject === undefined || crash === undefined || sentMs <= crash.crashedMs) return [];
         return update(subject, nowMs, () => releaseCrash(subject, start)) ?? [];
       });
     },
     merge(report, nowMs) {
       const isFull = cases.size >= CASES_MAX && !cases.has(report.content);
-      if (isFull && report.strikes.length < REPORTED_CRASHES_MIN) return undefined;
+      if (isFull && report.crashes.length < REPORTED_CRASHES_MIN) return undefined;
       const subject = getCase(report.content, report.organisation, nowMs);
       mergeTrial(subject, report, nowMs);
       return update(subject, nowMs, () => {
         const cleared = report.cleared.map((start) => releaseCrash(subject, start));
-        const added = report.strikes.map(({ start, sentAgoMs, crashedAgoMs }) =>
+        const added = report.crashes.map(({ start, sentAgoMs, crashedAgoMs }) =>
           addCrash(subject, {
             start,
             sentMs: nowMs - sentAgoMs,
--- a/src/quarantine/case-outbox.ts
+++ b/src/quarantine/case-outbox.ts
@@ -3,7 +3,7 @@
  * since datagrams are lost; all others are sent in rotation, for instances that have just started.
  */
 import type { ContentId } from '../calls/content-id.js';
-import type { ToldCase } from './case-ledger.js';
+import type { CaseReport } from './case-ledger.js';
 import { STANDING, computeStanding } from './crash-case.js';
 import type { CrashCase } from './crash-case.js';
 
@@ -21,15 +21,15 @@
   /** Schedules a content's case for sending, after it changed. */
   recordUpdate(content: ContentId): void;
   /** Returns the cases that are due to be sent now. */
-  take(cases: readonly CrashCase[], nowMs: number): ToldCase[];
+  take(cases: readonly CrashCase[], nowMs: number): CaseReport[];
 }
 
-export function buildCaseReport(subject: CrashCase, nowMs: number): ToldCase {
-  const { content, organisation, strikes, cleared, trial } = subject;
+export function buildCaseReport(subject: CrashCase, nowMs: number): CaseReport {
+  const { content, organisation, crashes, cleared, trial } = subject;
   return {
     content,
     organisation,
-    strikes: [...strikes.values()].map(({ start, sentMs, crashedMs }) => ({
+    crashes: [...crashes.values()].map(({ start, sentMs, crashedMs }) => ({
       start,
       sentAgoMs: nowMs - sentMs,
       crashedAgoMs: nowMs - crashedMs,
@@ -38,12 +38,12 @@
     trial:
       trial === undefined || trial.expiresMs <= nowMs
         ? undefined
-        : { start: trial.start, leftMs: trial.expiresMs - nowMs },
+        : { start: trial.start, remainingMs: trial.expiresMs - nowMs },
   };
 }
 
 function compareSeverity(a: CrashCase, b: CrashCase): number {
-  return b.strikes.size - a.strikes.size || b.changedMs - a.changedMs;
+  return b.crashes.size - a.crashes.size || b.changedMs - a.changedMs;
 }
 
 export function createCaseOutbox(): CaseOutbox {
--- a/src/quarantine/case-propagation.test.ts
+++ b/src/quarantine/case-propagation.test.ts
@@ -1,6 +1,6 @@
 /** Measures in simulation how long a new crash case takes to reach every instance of a fleet. */
-import { ACCEPTANCE } from './crash-detector.js';
-import { createRouteStandings } from '../routes/route-standing.js';
+import { CONNECTION_RESULT } from './crash-detector.js';
+import { createRouteRanks } from '../routes/route-rank.js';
 import { createActor, createVirtualTime } from '../soak/virtual-time.js';
 import { buildContacts } from '../test/played-contacts.js';
 import { createPlayedInstance } from '../test/played-instance.js';
@@ -34,15 +34,15 @@
         random: createRandom(seed * 1000 + index),
         network,
         listOpen: () => [],
-        standings: createRouteStandings([]),
+        standings: createRouteRanks([]),
         connections: {
           open: () => () => undefined,
           closeAll: () => undefined,
-          countMade: () => 0,
+          countOpened: () => 0,
           close: () => Promise.resolve(),
         },
         takeTrialLease: () => Promise.resolve(false),
-        checkAcceptance: () => Promise.resolve(ACCEPTANCE.Refused),
+        checkConnection: () => Promise.resolve(CONNECTION_RESULT.Refused),
         onAttempt: () => undefined,
       });
       network.add(self.address, instance.exchange);
@@ -51,9 +51,9 @@
     return own;
   });
   await time.runUntil(DISCOVERY_MS);
-  const strikes = [{ start: 1, sentAgoMs: 500, crashedAgoMs: 0 }];
+  const crashes = [{ start: 1, sentAgoMs: 500, crashedAgoMs: 0 }];
   instances[seed]?.quarantine.merge(
-    [{ content: 'x', organisation: 1, strikes, cleared: [], trial: undefined }],
+    [{ content: 'x', organisation: 1, crashes, cleared: [], trial: undefined }],
     'own',
   );
   const isKnown = ({ quarantine }: PlayedInstance): boolean => quarantine.list().length > 0;
--- a/src/quarantine/case-rows.test.ts
+++ b/src/quarantine/case-rows.test.ts
@@ -1,7 +1,7 @@
 import { createActor, createVirtualTime } from '../soak/virtual-time.js';
 import { describe } from '../test/describe.js';
 import { createCaseLedger } from './case-ledger.js';
-import type { ToldCase } from './case-ledger.js';
+import type { CaseReport } from './case-ledger.js';
 import { CASE_STATE, createCaseRows } from './case-rows.js';
 import type { CaseRow, CaseStore } from './case-rows.js';
 import { STANDING, computeStanding } from './crash-case.js';
@@ -18,7 +18,7 @@
 const SUBJECT: CrashCase = {
   content: 'x',
   organisation: 1,
-  strikes: new Map(ROW.starts.map((start) => [start, { start, sentMs: 0, crashedMs: 1 }])),
+  crashes: new Map(ROW.starts.map((start) => [start, { start, sentMs: 0, crashedMs: 1 }])),
   cleared: new Set(),
   trial: undefined,
   changedMs: 0,
@@ -41,11 +41,11 @@
   it('condemn a content on an instance that has no cases', async (t) => {
     const time = createVirtualTime();
     const timers = time.createTimers(createActor('a'), 0);
-    const reports: ToldCase[] = [];
+    const reports: CaseReport[] = [];
     const rows = createCaseRows({
       store: createStore([ROW], () => false),
       timers,
-      onTold: (report) => reports.push(report),
+      onReport: (report) => reports.push(report),
     });
     await time.runUntil(2000);
     t.deepEqual(reports, [], 'rows were read by an instance that does not follow the source');
@@ -53,7 +53,7 @@
     await time.runUntil(4000);
     t.is(reports.length, 1);
     const ledger = createCaseLedger();
-    ledger.merge(reports[0] as ToldCase, 4000);
+    ledger.merge(reports[0] as CaseReport, 4000);
     t.is(computeStanding(ledger.find('x') as CrashCase), STANDING.Condemned);
     timers.stop();
   });
@@ -65,7 +65,7 @@
     const rows = createCaseRows({
       store: createStore(stored, () => time.getNow() < 5000),
       timers,
-      onTold: () => undefined,
+      onReport: () => undefined,
     });
     rows.add(SUBJECT, CASE_STATE.Condemned, '', '');
     await time.runUntil(8000);
@@ -88,11 +88,11 @@
     const rows = createCaseRows({
       store: createStore([row], () => false),
       timers,
-      onTold: (report) => ledger.merge(report, time.getNow()),
+      onReport: (report) => ledger.merge(report, time.getNow()),
     });
     rows.setReading(true);
     await time.runUntil(2000);
-    t.deepEqual([...(ledger.find('x')?.strikes.keys() ?? [])], [21, 22]);
+    t.deepEqual([...(ledger.find('x')?.crashes.keys() ?? [])], [21, 22]);
     timers.stop();
   });
 });
--- a/src/quarantine/case-rows.ts
+++ b/src/quarantine/case-rows.ts
@@ -4,9 +4,9 @@
  * them to their peers.
  */
 import type { ContentId } from '../calls/content-id.js';
-import type { EndpointKey } from '../placement/told-loads.js';
+import type { EndpointKey } from '../placement/remote-loads.js';
 import type { TimerService } from '../runtime/timer-service.js';
-import type { ToldCase } from './case-ledger.js';
+import type { CaseReport } from './case-ledger.js';
 import type { CrashCase, OrganisationKey } from './crash-case.js';
 
 /** Long, since peers exchange cases directly and rows only fill gaps. */
@@ -47,7 +47,7 @@
   readonly store: CaseStore;
   readonly timers: TimerService;
   /** Called for each row that was read, in the form of a peer's report. */
-  readonly onTold: (told: ToldCase) => void;
+  readonly onReport: (told: CaseReport) => void;
 }
 
 export interface CaseRows {
@@ -60,22 +60,22 @@
  * Converts a row to a peer's report. Its crashes count as successive ones; a release clears only
  * the crashes that it names.
  */
-function buildReport({ content, organisation, starts, state }: CaseRow): ToldCase {
+function buildReport({ content, organisation, starts, state }: CaseRow): CaseReport {
   const isReleased = state === CASE_STATE.Released;
-  const strikes = starts.map((start, index) => {
+  const crashes = starts.map((start, index) => {
     const crashedAgoMs = (starts.length - index) * STORED_CRASH_INTERVAL_MS;
     return { start, crashedAgoMs, sentAgoMs: crashedAgoMs + STORED_CRASH_INTERVAL_MS / 2 };
   });
   return {
     content,
     organisation,
-    strikes: isReleased ? [] : strikes,
+    crashes: isReleased ? [] : crashes,
     cleared: isReleased ? starts : [],
     trial: undefined,
   };
 }
 
-export function createCaseRows({ store, timers, onTold }: CaseRowsOptions): CaseRows {
+export function createCaseRows({ store, timers, onReport }: CaseRowsOptions): CaseRows {
   const pendingWrites = new Map<ContentId, CaseRow>();
   let isReading = false;
   let readMs = -Infinity;
@@ -85,7 +85,7 @@
     const rows = await store.list();
     if (rows === undefined) return;
     readMs = timers.clock.monotonicMs();
-    for (const row of rows) onTold(buildReport(row));
+    for (const row of rows) onReport(buildReport(row));
   }
 
   async function writeRows(): Promise<void> {
@@ -115,12 +115,12 @@
   });
 
   return {
-    add({ content, organisation, strikes }, state, who, reason) {
+    add({ content, organisation, crashes }, state, who, reason) {
       pendingWrites.delete(content);
       pendingWrites.set(content, {
         content,
         organisation,
-        starts: [...strikes.keys()],
+        starts: [...crashes.keys()],
         state,
         who,
         reason,
--- a/src/quarantine/check-acceptance.ts
+++ b/src/quarantine/check-connection.ts
@@ -1,14 +1,14 @@
 /** Probes an address by opening a TCP connection and sending no data. */
 import { connect } from 'node:net';
-import { ACCEPTANCE } from './crash-detector.js';
-import type { Acceptance } from './crash-detector.js';
+import { CONNECTION_RESULT } from './crash-detector.js';
+import type { ConnectionResult } from './crash-detector.js';
 
 /** Well above the round-trip time between data centres. */
 const CONNECT_TIMEOUT_MS = 300;
 const REFUSED_CODE = 'ECONNREFUSED';
 
 /** `address` has the form `HOST:PORT`. */
-export function checkAcceptance(address: string): Promise<Acceptance> {
+export function checkConnection(address: string): Promise<ConnectionResult> {
   const separator = address.lastIndexOf(':');
   return new Promise((resolve) => {
     const socket = connect({
@@ -16,14 +16,16 @@
       port: Number(address.slice(separator + 1)),
       timeout: CONNECT_TIMEOUT_MS,
     });
-    const close = (result: Acceptance): void => {
+    const close = (result: ConnectionResult): void => {
       socket.destroy();
       resolve(result);
     };
-    socket.once('connect', () => close(ACCEPTANCE.Accepted));
-    socket.once('timeout', () => close(ACCEPTANCE.Unreachable));
+    socket.once('connect', () => close(CONNECTION_RESULT.Accepted));
+    socket.once('timeout', () => close(CONNECTION_RESULT.Unreachable));
     socket.on('error', (error: NodeJS.ErrnoException) => {
-      close(error.code === REFUSED_CODE ? ACCEPTANCE.Refused : ACCEPTANCE.Unreachable);
+      close(
+        error.code === REFUSED_CODE ? CONNECTION_RESULT.Refused : CONNECTION_RESULT.Unreachable,
+      );
     });
   });
 }
--- a/src/quarantine/crash-case.ts
+++ b/src/quarantine/crash-case.ts
@@ -3,7 +3,7 @@
  * when merged, so that instances can exchange them in any order.
  */
 import type { ContentId } from '../calls/content-id.js';
-import type { EndpointKey } from '../placement/told-loads.js';
+import type { EndpointKey } from '../placement/remote-loads.js';
 
 /** Hash of an organisation's name, which identifies it between instances. */
 export type OrganisationKey = number;
@@ -28,7 +28,7 @@
 export interface CrashCase {
   readonly content: ContentId;
   readonly organisation: OrganisationKey;
-  readonly strikes: Map<EndpointKey, CrashRecord>;
+  readonly crashes: Map<EndpointKey, CrashRecord>;
   /** Crashes that no longer count, even if a peer reports them again. */
   readonly cleared: Set<EndpointKey>;
   trial: Trial | undefined;
@@ -59,8 +59,8 @@
 const ROUNDS_TO_CONDEMN = 2;
 
 /** Counts successive crashes, each of a run that began after the previous one. */
-function countRounds(strikes: Iterable<CrashRecord>): number {
-  const ordered = [...strikes].sort((a, b) => a.crashedMs - b.crashedMs);
+function countRounds(crashes: Iterable<CrashRecord>): number {
+  const ordered = [...crashes].sort((a, b) => a.crashedMs - b.crashedMs);
   let rounds = 0;
   let lastCrashMs = -Infinity;
   for (const { sentMs, crashedMs } of ordered) {
@@ -73,11 +73,11 @@
 }
 
 /** `pendingChecks` counts interrupted answers that may yet prove to be crashes. */
-export function computeStanding({ strikes }: CrashCase, pendingChecks = 0): Standing {
-  const count = strikes.size + pendingChecks;
+export function computeStanding({ crashes }: CrashCase, pendingChecks = 0): Standing {
+  const count = crashes.size + pendingChecks;
   if (count === 0) return STANDING.Clear;
   if (count < CRASHES_FOR_LAST_TRIAL) return STANDING.Suspect;
   if (count < CRASHES_TO_CONDEMN) return STANDING.LastTrial;
-  const rounds = countRounds(strikes.values()) + pendingChecks;
+  const rounds = countRounds(crashes.values()) + pendingChecks;
   return rounds < ROUNDS_TO_CONDEMN ? STANDING.LastTrial : STANDING.Condemned;
 }
--- a/src/quarantine/crash-detector.test.ts
+++ b/src/quarantine/crash-detector.test.ts
@@ -1,8 +1,8 @@
 import { describe } from '../test/describe.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
-import { ACCEPTANCE, createCrashDetector } from './crash-detector.js';
+import { CONNECTION_RESULT, createCrashDetector } from './crash-detector.js';
 import type {
-  Acceptance,
+  ConnectionResult,
   InterruptedAnswer,
   CrashDetector,
   EndpointCrash,
@@ -29,11 +29,11 @@
   countChecks(): number;
 }
 
-function createSetup(acceptance: Acceptance): Setup {
+function createSetup(acceptance: ConnectionResult): Setup {
   const crashes: EndpointCrash[] = [];
   let checks = 0;
   const detector = createCrashDetector({
-    checkAcceptance: () => {
+    checkConnection: () => {
       checks += 1;
       return Promise.resolve(acceptance);
     },
@@ -48,7 +48,11 @@
 
 describe('crash detector', ({ it }) => {
   it('reports all interrupted answers of an endpoint that refuses connections, after one check', async (t) => {
-    const { detector, crashes, countChecks: countQuestions } = createSetup(ACCEPTANCE.Refused);
+    const {
+      detector,
+      crashes,
+      countChecks: countQuestions,
+    } = createSetup(CONNECTION_RESULT.Refused);
     detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
     detector.recordInterrupted(ENDPOINT, buildAnswer('y', 1));
     await waitForPromises();
@@ -63,7 +67,7 @@
   });
 
   it('reports no crash when the endpoint still accepts connections', async (t) => {
-    const { detector, crashes } = createSetup(ACCEPTANCE.Accepted);
+    const { detector, crashes } = createSetup(CONNECTION_RESULT.Accepted);
     detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
     await waitForPromises();
     t.deepEqual(crashes, []);
@@ -72,7 +76,7 @@
   // Guards against missing a crash that a connection check does not show, because the endpoint
   // restarted within milliseconds or was unreachable.
   it('reports a crash from the registry when the connection check proved nothing', async (t) => {
-    for (const acceptance of [ACCEPTANCE.Accepted, ACCEPTANCE.Unreachable]) {
+    for (const acceptance of [CONNECTION_RESULT.Accepted, CONNECTION_RESULT.Unreachable]) {
       const { detector, crashes } = createSetup(acceptance);
       detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
       // eslint-disable-next-line no-await-in-loop
@@ -87,7 +91,11 @@
   // Guards against missing a crash that left connections open: callers abandon their answers before
   // the registry reports the crash.
   it('reports a crash from the registry for answers abandoned after a silence', (t) => {
-    const { detector, crashes, countChecks: countQuestions } = createSetup(ACCEPTANCE.Accepted);
+    const {
+      detector,
+      crashes,
+      countChecks: countQuestions,
+    } = createSetup(CONNECTION_RESULT.Accepted);
     detector.recordAbandoned(ENDPOINT, buildAnswer('x'));
     t.is(countQuestions(), 0);
     detector.recordEnded(ENDPOINT);
@@ -97,7 +105,7 @@
   });
 
   it('reports no crash for a planned shutdown or long after an interruption', async (t) => {
-    const { detector, crashes } = createSetup(ACCEPTANCE.Accepted);
+    const { detector, crashes } = createSetup(CONNECTION_RESULT.Accepted);
     detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
     await waitForPromises();
     detector.recordEnded({ ...ENDPOINT, isLeaving: true });
@@ -110,7 +118,7 @@
 
   // Guards against unbounded memory, and against blaming old interruptions for a later crash.
   it('drops old interrupted answers while new ones arrive', async (t) => {
-    const { detector, crashes } = createSetup(ACCEPTANCE.Accepted);
+    const { detector, crashes } = createSetup(CONNECTION_RESULT.Accepted);
     for (let second = 0; second <= 60; second += 1) {
       detector.recordInterrupted(ENDPOINT, buildAnswer(`at-${second}`, second * 1000));
       // eslint-disable-next-line no-await-in-loop
--- a/src/quarantine/crash-detector.ts
+++ b/src/quarantine/crash-detector.ts
@@ -11,14 +11,14 @@
 const SUSPICION_MAX_MS = 10_000;
 
 /** Result of opening a connection to an endpoint. */
-export const ACCEPTANCE = {
+export const CONNECTION_RESULT = {
   Accepted: 'accepted',
   /** Nothing listens on the port. */
   Refused: 'refused',
   /** No answer: the endpoint or the network path to it is down. */
   Unreachable: 'silent',
 } as const;
-export type Acceptance = (typeof ACCEPTANCE)[keyof typeof ACCEPTANCE];
+export type ConnectionResult = (typeof CONNECTION_RESULT)[keyof typeof CONNECTION_RESULT];
 
 export type CrashEvidence = 'connection refused' | 'start ended';
 
@@ -39,7 +39,7 @@
 
 export interface CrashDetectorOptions {
   /** Opens a separate connection; never rejects. */
-  readonly checkAcceptance: (address: string) => Promise<Acceptance>;
+  readonly checkConnection: (address: string) => Promise<ConnectionResult>;
   readonly onCrash: (crash: EndpointCrash) => void;
 }
 
@@ -85,10 +85,10 @@
   async function checkSuspicion(suspicion: Suspicion): Promise<void> {
     const { endpoint } = suspicion;
     suspicion.isChecking = true;
-    const result = await options.checkAcceptance(endpoint.address);
+    const result = await options.checkConnection(endpoint.address);
     suspicion.isChecking = false;
     if (suspicions.get(endpoint.startId) !== suspicion) return;
-    if (result === ACCEPTANCE.Refused) {
+    if (result === CONNECTION_RESULT.Refused) {
       suspicions.delete(endpoint.startId);
       options.onCrash({ endpoint, answers: suspicion.pending, evidence: 'connection refused' });
       return;
--- a/src/quarantine/organisation-backoff.ts
+++ b/src/quarantine/organisation-backoff.ts
@@ -40,11 +40,11 @@
 
   return {
     recordChange({ subject, before, standing }) {
-      const { content, organisation, strikes } = subject;
+      const { content, organisation, crashes } = subject;
       if (standing === STANDING.Condemned) {
         const record = getRecord(organisation);
         record.condemned.add(content);
-        const crashedMs = [...strikes.values()].map((crash) => crash.crashedMs);
+        const crashedMs = [...crashes.values()].map((crash) => crash.crashedMs);
         record.lastCrashMs = Math.max(record.lastCrashMs, ...crashedMs);
       } else if (before === STANDING.Condemned) {
         records.get(organisation)?.condemned.delete(content);
--- a/src/quarantine/quarantine-api.ts
+++ b/src/quarantine/quarantine-api.ts
@@ -27,11 +27,11 @@
 export function listCases(cases: readonly CrashCase[], nowMs: number): ListedCase[] {
   return cases
     .map((subject) => {
-      const crashedMs = [...subject.strikes.values()].map((crash) => crash.crashedMs);
+      const crashedMs = [...subject.crashes.values()].map((crash) => crash.crashedMs);
       return {
         content: subject.content,
         standing: computeStanding(subject),
-        crashes: subject.strikes.size,
+        crashes: subject.crashes.size,
         lastCrashAgoMs: crashedMs.length === 0 ? 0 : Math.round(nowMs - Math.max(...crashedMs)),
       };
     })
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -4,19 +4,19 @@
  * this evidence. Does no I/O.
  */
 import type { AttemptEnd, RoutedCall } from '../calls/call-messages.js';
-import { hashStart } from '../placement/told-loads.js';
-import type { EndpointKey } from '../placement/told-loads.js';
+import { hashStartId } from '../placement/remote-loads.js';
+import type { EndpointKey } from '../placement/remote-loads.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { FAILURE, OUTCOME } from '../types/outcomes.js';
 import type { RequestFailure } from '../types/outcomes.js';
 import { hashName } from '../utils/hash.js';
 import { createCaseLedger } from './case-ledger.js';
-import type { CaseChange, ToldCase } from './case-ledger.js';
+import type { CaseChange, CaseReport } from './case-ledger.js';
 import { createCaseOutbox } from './case-outbox.js';
 import { STANDING, computeStanding } from './crash-case.js';
 import type { CrashCase, Standing } from './crash-case.js';
 import { createCrashDetector } from './crash-detector.js';
-import type { Acceptance, InterruptedAnswer, EndpointCrash } from './crash-detector.js';
+import type { ConnectionResult, InterruptedAnswer, EndpointCrash } from './crash-detector.js';
 import { createOrganisationBackoff } from './organisation-backoff.js';
 import { createTrials } from './trials.js';
 import type { TakeTrialLease } from './trials.js';
@@ -49,7 +49,7 @@
 
 export interface QuarantineOptions {
   /** Opens a separate connection to an endpoint; never rejects. */
-  readonly checkAcceptance: (address: string) => Promise<Acceptance>;
+  readonly checkConnection: (address: string) => Promise<ConnectionResult>;
   /** The endpoint registered under an id. */
   readonly findEndpoint: (id: string) => RegisteredEndpoint | undefined;
   readonly takeTrialLease: TakeTrialLease;
@@ -87,8 +87,8 @@
   /** The registry reports that this start of the endpoint has ended. */
   recordEnded(endpoint: RegisteredEndpoint): void;
   /** Returns the cases to report to peers now. */
-  takeTold(): ToldCase[];
-  merge(reports: readonly ToldCase[], source: string): void;
+  takeTold(): CaseReport[];
+  merge(reports: readonly CaseReport[], source: string): void;
   list(): readonly CrashCase[];
   /** Releases a content for an operator; false if no crashes count against it. */
   release(content: string): boolean;
@@ -99,12 +99,12 @@
 const SEND_ALONE: AdmissionDecision = { kind: 'send', isAlone: true };
 const WAIT: AdmissionDecision = { kind: 'wait' };
 
-function buildContentRefusal({ content, strikes }: CrashCase): AdmissionDecision {
+function buildContentRefusal({ content, crashes }: CrashCase): AdmissionDecision {
   return {
     kind: 'refuse',
     failure: {
       type: FAILURE.Quarantined,
-      message: `${strikes.size} endpoints ended while they ran this request; change it, or ask the operators to release ${content}`,
+      message: `${crashes.size} endpoints ended while they ran this request; change it, or ask the operators to release ${content}`,
       outcome: OUTCOME.NotRun,
       retryAfterMs: CONDEMNED_RETRY_MS,
     },
@@ -144,10 +144,10 @@
   }
 
   const detector = createCrashDetector({
-    checkAcceptance: options.checkAcceptance,
+    checkConnection: options.checkConnection,
     onCrash(crash) {
       observer.onCrash(crash);
-      const start = hashStart(crash.endpoint.startId);
+      const start = hashStartId(crash.endpoint.startId);
       for (const { content, organisation, sentMs, interruptedMs } of crash.answers) {
         const found = { content, organisation, start, sentMs, crashedMs: interruptedMs };
         recordChange(ledger.recordCrash(found, getNow()), 'own');
@@ -236,7 +236,7 @@
 
   function startWatch(call: RoutedCall, endpoint: RegisteredEndpoint): AttemptWatch {
     const sentMs = getNow();
-    const start = hashStart(endpoint.startId);
+    const start = hashStartId(endpoint.startId);
     const trialCase = startTrial(call, start);
     let lastEventMs = sentMs;
     let hasEnded = false;
@@ -296,7 +296,7 @@
       return computeCurrentStanding(subject) === STANDING.Condemned;
     },
     startWatch,
-    isInTrial: ({ startId }) => trials.hasAny() && trials.isInTrial(hashStart(startId)),
+    isInTrial: ({ startId }) => trials.hasAny() && trials.isInTrial(hashStartId(startId)),
     recordEnded: (endpoint) => detector.recordEnded(endpoint),
     takeTold: () => (ledger.isEmpty() ? [] : outbox.take(ledger.list(), getNow())),
     merge(reports, source) {
--- a/src/quarantine/trials.test.ts
+++ b/src/quarantine/trials.test.ts
@@ -7,7 +7,7 @@
 const SUBJECT: CrashCase = {
   content: 'x',
   organisation: 1,
-  strikes: new Map(),
+  crashes: new Map(),
   cleared: new Set(),
   trial: undefined,
   changedMs: 0,
--- a/src/quarantine/trials.ts
+++ b/src/quarantine/trials.ts
@@ -5,7 +5,7 @@
  * and without it nothing runs.
  */
 import type { ContentId } from '../calls/content-id.js';
-import type { EndpointKey } from '../placement/told-loads.js';
+import type { EndpointKey } from '../placement/remote-loads.js';
 import type { CrashCase, Trial } from './crash-case.js';
 
 /** Outlasts the loss of a renewal or two. */
--- a/src/requests/life-messages.ts
+++ b/src/requests/request-messages.ts
@@ -26,7 +26,7 @@
   /** The connection broke, or the answer ended without its end marker. */
   | 'broken';
 
-export type LifeMessage =
+export type RequestMessage =
   | { readonly kind: 'start' }
   | { readonly kind: 'claimed' }
   | { readonly kind: 'claim_refused'; readonly failure: RequestFailure }
@@ -53,7 +53,7 @@
   /** `lateMs`: delay of this tick because the process did not run. */
   | { readonly kind: 'tick'; readonly lateMs: number };
 
-export type LifeCommand =
+export type RequestCommand =
   | { readonly kind: 'claim' }
   | {
       readonly kind: 'acquire';
--- a/src/requests/request-life.test.ts
+++ b/src/requests/request-state-machine.test.ts
@@ -2,9 +2,9 @@
 import { createInvariants } from '../runtime/invariants.js';
 import { describe } from '../test/describe.js';
 import { OUTCOME } from '../types/outcomes.js';
-import { createRequestLife } from './request-life.js';
-import { REPEATABILITY } from './life-messages.js';
-import type { LifeCommand, LifeMessage, Repeatability } from './life-messages.js';
+import { createRequestStateMachine } from './request-state-machine.js';
+import { REPEATABILITY } from './request-messages.js';
+import type { RequestCommand, RequestMessage, Repeatability } from './request-messages.js';
 
 const FRAMES = 6;
 const DEADLINE_MS = 10_000;
@@ -19,21 +19,24 @@
   const invariants = createInvariants((breach) => {
     throw new Error(`${breach.name}: ${breach.detail}`);
   });
-  return createRequestLife({
+  return createRequestStateMachine({
     requestId: 'r',
     repeatability: setup.repeatability ?? REPEATABILITY.Repeatable,
     deadlineMs: DEADLINE_MS,
     invariants,
-    getFirstBound: () => 500,
-    getGapBound: () => 200,
+    getFirstFrameTimeoutMs: () => 500,
+    getFrameGapTimeoutMs: () => 200,
     takeRetry: setup.takeRetry ?? (() => true),
     takeClaim: setup.takeClaim ?? (() => true),
   });
 }
 
-function findCommand<K extends LifeCommand['kind']>(commands: readonly LifeCommand[], kind: K) {
+function findCommand<K extends RequestCommand['kind']>(
+  commands: readonly RequestCommand[],
+  kind: K,
+) {
   return commands.find(
-    (command): command is Extract<LifeCommand, { kind: K }> => command.kind === kind,
+    (command): command is Extract<RequestCommand, { kind: K }> => command.kind === kind,
   );
 }
 
@@ -46,7 +49,7 @@
 }
 
 /** Any message, valid in the current state or not. */
-const messageArbitrary: fc.Arbitrary<LifeMessage> = fc.oneof(
+const messageArbitrary: fc.Arbitrary<RequestMessage> = fc.oneof(
   fc.record({
     kind: fc.constant('frame' as const),
     attemptId: fc.constantFrom('r-1', 'r-2', 'r-3', 'other-1'),
--- a/src/requests/request-life.ts
+++ b/src/requests/request-state-machine.ts
@@ -8,22 +8,27 @@
 import { FAILURE, OUTCOME } from '../types/outcomes.js';
 import type { Failure, Outcome } from '../types/outcomes.js';
 import { assertNever } from '../utils/assert-never.js';
-import { REPEATABILITY } from './life-messages.js';
-import type { AttemptEnding, LifeCommand, LifeMessage, Repeatability } from './life-messages.js';
+import { REPEATABILITY } from './request-messages.js';
+import type {
+  AttemptEnding,
+  RequestCommand,
+  RequestMessage,
+  Repeatability,
+} from './request-messages.js';
 
 /** Preemptions do not count. */
 const ATTEMPTS_MAX = 5;
 const RETRY_AFTER_MS = 1000;
 
-export interface RequestLifeOptions {
+export interface RequestStateMachineOptions {
   readonly requestId: string;
   readonly repeatability: Repeatability;
   /** On the monotonic clock. */
   readonly deadlineMs: number;
   readonly invariants: Invariants;
   /** Longest silence before the first frame and between later frames, in milliseconds. */
-  readonly getFirstBound: () => number;
-  readonly getGapBound: () => number;
+  readonly getFirstFrameTimeoutMs: () => number;
+  readonly getFrameGapTimeoutMs: () => number;
   /** Takes a retry from the budget; false if it is empty. */
   readonly takeRetry: () => boolean;
   /**
@@ -46,8 +51,8 @@
 
 type Phase = 'new' | 'claiming' | 'queued' | 'sent' | 'ended';
 
-export interface RequestLife {
-  handle(message: LifeMessage, nowMs: number): LifeCommand[];
+export interface RequestStateMachine {
+  handle(message: RequestMessage, nowMs: number): RequestCommand[];
   isEnded(): boolean;
   /** Frames delivered to the caller so far. */
   countDelivered(): number;
@@ -57,7 +62,9 @@
   getProgress(): { ticketId: string; tokens: number; stepMs: number } | undefined;
 }
 
-export function createRequestLife(options: RequestLifeOptions): RequestLife {
+export function createRequestStateMachine(
+  options: RequestStateMachineOptions,
+): RequestStateMachine {
   const { requestId, repeatability, invariants } = options;
   let phase: Phase = 'new';
   let ticketNumber = 0;
@@ -70,7 +77,7 @@
   let excluded: string[] = [];
   let ticketId = '';
   let attempt: Attempt | undefined;
-  let commands: LifeCommand[] = [];
+  let commands: RequestCommand[] = [];
 
   function computeStep(current: Attempt): number {
     const span = current.lastFrameMs - (current.firstFrameMs ?? current.lastFrameMs);
@@ -228,7 +235,7 @@
     }
   }
 
-  function handleFrame(message: Extract<LifeMessage, { kind: 'frame' }>, nowMs: number): void {
+  function handleFrame(message: Extract<RequestMessage, { kind: 'frame' }>, nowMs: number): void {
     const current = attempt;
     if (current === undefined || message.attemptId !== current.attemptId) {
       // Guards against delivering a frame that belongs to another request or attempt.
@@ -260,7 +267,7 @@
     commands.push({ kind: 'deliver', text: message.text });
   }
 
-  function handleFinished(message: Extract<LifeMessage, { kind: 'finished' }>): void {
+  function handleFinished(message: Extract<RequestMessage, { kind: 'finished' }>): void {
     const current = attempt;
     if (current === undefined || message.attemptId !== current.attemptId) return;
     if (message.index !== delivered.length) {
@@ -291,7 +298,9 @@
     const current = attempt;
     if (current === undefined) return;
     const timeoutMs =
-      current.firstFrameMs === undefined ? options.getFirstBound() : options.getGapBound();
+      current.firstFrameMs === undefined
+        ? options.getFirstFrameTimeoutMs()
+        : options.getFrameGapTimeoutMs();
     if (nowMs - current.lastFrameMs - current.pausedMs < timeoutMs) return;
     const isRepeatable = repeatability === REPEATABILITY.Repeatable;
     // If the request cannot be retried, waiting is the only option.
@@ -327,7 +336,7 @@
     closeFailed(FAILURE.CallerLeft, 'the caller closed the connection; nothing more is sent');
   }
 
-  function applyMessage(message: LifeMessage, nowMs: number): void {
+  function applyMessage(message: RequestMessage, nowMs: number): void {
     switch (message.kind) {
       case 'start':
         if (repeatability === REPEATABILITY.Once) {
--- a/src/requests/routed-request.ts
+++ b/src/requests/routed-request.ts
@@ -5,7 +5,7 @@
   PoolDeclaration,
 } from '../types/declarations.js';
 import type { RequestFailure } from '../types/outcomes.js';
-import type { Repeatability } from './life-messages.js';
+import type { Repeatability } from './request-messages.js';
 
 /** One message of a conversation; content parts are passed through unchanged. */
 export interface ChatMessage {
--- a/src/routes/route-standing.test.ts
+++ b/src/routes/route-rank.test.ts
@@ -1,6 +1,6 @@
 import { describe } from '../test/describe.js';
 import { buildPlayedRoute } from '../test/played-routes.js';
-import { createRouteStandings } from './route-standing.js';
+import { createRouteRanks } from './route-rank.js';
 
 const LOOKUP = buildPlayedRoute('lookup', { priority: 2, gapTargetMs: 250 });
 const OTHER = buildPlayedRoute('other', { priority: 2, gapTargetMs: 300 });
@@ -11,7 +11,7 @@
 
 describe('rank of routes', ({ it }) => {
   it('counts distinct priorities of streams, whatever numbers are declared', (t) => {
-    const ranks = createRouteStandings([HISTORY, PLAIN, OTHER, LOOKUP, DRAFT]);
+    const ranks = createRouteRanks([HISTORY, PLAIN, OTHER, LOOKUP, DRAFT]);
     t.deepEqual(ranks.get(LOOKUP, POOL), {
       rank: 0,
       ranks: 3,
@@ -33,7 +33,7 @@
   });
 
   it('is 0 at a pool without streams', (t) => {
-    const ranks = createRouteStandings([LOOKUP, HISTORY]);
+    const ranks = createRouteRanks([LOOKUP, HISTORY]);
     t.like(ranks.get(HISTORY, 'elsewhere'), { rank: 0, urgentPauseMs: Infinity });
   });
 });
--- a/src/routes/route-standing.ts
+++ b/src/routes/route-rank.ts
@@ -2,7 +2,7 @@
 import type { Route } from '../types/traffic.js';
 
 /** Rank of one route at one pool. */
-export interface RouteStanding {
+export interface RouteRank {
   /** Number of distinct priorities that are more urgent; 0 for the most urgent. */
   readonly rank: number;
   /** Number of distinct priorities. */
@@ -14,12 +14,12 @@
 }
 
 /** Ranks of all routes of one configuration. */
-export interface RouteStandings {
-  get(route: Route, pool: string): RouteStanding;
+export interface RouteRanks {
+  get(route: Route, pool: string): RouteRank;
 }
 
 /** Applies while no configuration is loaded. */
-export const FIRST_STANDING: RouteStanding = {
+export const TOP_RANK: RouteRank = {
   rank: 0,
   ranks: 1,
   urgentPauseMs: Infinity,
@@ -34,7 +34,7 @@
   return Math.min(...routes.map(({ gapTargetMs }) => gapTargetMs ?? Infinity));
 }
 
-function computeRank(route: Route, routes: readonly Route[]): RouteStanding {
+function computeRank(route: Route, routes: readonly Route[]): RouteRank {
   const moreUrgent = routes.filter(({ priority }) => priority < route.priority);
   const mostUrgent = Math.min(...routes.map(({ priority }) => priority));
   return {
@@ -46,7 +46,7 @@
 }
 
 /** Computes ranks on first use and caches them, since waiting calls read them repeatedly. */
-export function createRouteStandings(routes: readonly Route[]): RouteStandings {
+export function createRouteRanks(routes: readonly Route[]): RouteRanks {
   const streamsOfPool = new Map<string, Route[]>();
   for (const route of routes) {
     // Routes without a gap target have no streams that other routes could slow down.
@@ -57,11 +57,11 @@
       streamsOfPool.set(pool, streams);
     }
   }
-  const ranksOfPool = new Map<string, WeakMap<Route, RouteStanding>>();
+  const ranksOfPool = new Map<string, WeakMap<Route, RouteRank>>();
 
   return {
     get(route, pool) {
-      const poolRanks = ranksOfPool.get(pool) ?? new WeakMap<Route, RouteStanding>();
+      const poolRanks = ranksOfPool.get(pool) ?? new WeakMap<Route, RouteRank>();
       ranksOfPool.set(pool, poolRanks);
       const rank = poolRanks.get(route) ?? computeRank(route, streamsOfPool.get(pool) ?? []);
       poolRanks.set(route, rank);
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -6,8 +6,8 @@
   TrafficPool,
 } from '../types/traffic.js';
 import { hashName } from '../utils/hash.js';
-import { createRouteStandings } from './route-standing.js';
-import type { RouteStanding } from './route-standing.js';
+import { createRouteRanks } from './route-rank.js';
+import type { RouteRank } from './route-rank.js';
 import { createUrgencyRanks } from './urgency.js';
 
 /** Index of one version of the configuration. */
@@ -19,7 +19,7 @@
   findRoute(host: string, path: string): Route | undefined;
   findOrganisation(key: string): CallingOrganisation | undefined;
   findPool(name: string): TrafficPool | undefined;
-  getStanding(route: Route, pool: string): RouteStanding;
+  getRouteRank(route: Route, pool: string): RouteRank;
   /** From 0, the most urgent, to 9. */
   computeUrgency(route: Route, organisation: CallingOrganisation | undefined): number;
 }
@@ -40,7 +40,7 @@
   }
   const urgency = createUrgencyRanks(configuration);
   const pools = new Map(configuration.pools.map((pool) => [pool.name, pool]));
-  const ranks = createRouteStandings(configuration.routes);
+  const ranks = createRouteRanks(configuration.routes);
   return {
     version: configuration.version,
     hasOrganisations: configuration.organisations.length > 0,
@@ -48,7 +48,7 @@
       routesOfHost.get(host)?.find((route) => path.startsWith(route.pathPrefix)),
     findOrganisation: (key) => organisationOfKey.get(key),
     findPool: (name) => pools.get(name),
-    getStanding: (route, pool) => ranks.get(route, pool),
+    getRouteRank: (route, pool) => ranks.get(route, pool),
     computeUrgency: (route, organisation) => urgency.compute(route, organisation),
   };
 }
--- a/src/slopes/admission-slopes.ts
+++ b/src/slopes/admission-slopes.ts
@@ -1,8 +1,8 @@
 /** What admission and routing cost, against endpoints, shards and members. */
 import { buildShards } from '../admission/shard-map.js';
 import { createShardOwner } from '../admission/shard-owner.js';
-import { createTicketDesk } from '../admission/ticket-desk.js';
-import type { ShardRoute } from '../admission/desk-messages.js';
+import { createTicketClient } from '../admission/ticket-client.js';
+import type { ShardRoute } from '../admission/ticket-client-messages.js';
 import { SlotEnding } from '../gen/peer_pb.js';
 import { createInvariants } from '../runtime/invariants.js';
 import type { ClassDeclaration, Declarations, EndpointDeclaration } from '../types/declarations.js';
@@ -127,7 +127,7 @@
 
 /** Microseconds the entry's desk spends on a ticket, with `count` shards of the pool. */
 function computeDesk(count: number): number {
-  const desk = createTicketDesk(createRandom(1));
+  const desk = createTicketClient(createRandom(1));
   const list: ShardRoute[] = Array.from({ length: count }, (_, index) => ({
     shard: `models/${index}`,
     owner: `entry-${index}`,
@@ -150,7 +150,7 @@
           requestedMs: 0,
           prefixHash: 0,
           preemptible: false,
-          excluded: [],
+          excludedEndpoints: [],
           isResumed: false,
         },
       },
--- a/src/slopes/organisation-slopes.ts
+++ b/src/slopes/organisation-slopes.ts
@@ -11,7 +11,7 @@
 const SIZES = [100, 1000, 10_000, 35_000] as const;
 const PER_FILE = 70;
 const TIMES = 2000;
-const PEERS = { entries: 410, getDemand: () => 10 } as const;
+const PEERS = { instances: 410, getDemand: () => 10 } as const;
 
 function buildOrganisationName(index: number): string {
   return `organisation-${index}`;
--- a/src/slopes/request-slopes.ts
+++ b/src/slopes/request-slopes.ts
@@ -1,8 +1,8 @@
 /** What a request costs in the cores, against its tokens, and what a claim costs. */
 import { createClaim } from '../claims/claim.js';
 import { createInvariants } from '../runtime/invariants.js';
-import { createRequestLife } from '../requests/request-life.js';
-import { REPEATABILITY } from '../requests/life-messages.js';
+import { createRequestStateMachine } from '../requests/request-state-machine.js';
+import { REPEATABILITY } from '../requests/request-messages.js';
 import { buildSlope, computeMicroseconds } from './measure.js';
 import type { Slope } from './measure.js';
 
@@ -10,23 +10,23 @@
 const CLAIM_SIZES = [1, 10, 100, 1000] as const;
 const invariants = createInvariants(() => undefined);
 
-function runLife(tokens: number): void {
-  const life = createRequestLife({
+function runStateMachine(tokens: number): void {
+  const stateMachine = createRequestStateMachine({
     requestId: 'r',
     repeatability: REPEATABILITY.Repeatable,
     deadlineMs: 1e9,
     invariants,
-    getFirstBound: () => 1e9,
-    getGapBound: () => 1e9,
+    getFirstFrameTimeoutMs: () => 1e9,
+    getFrameGapTimeoutMs: () => 1e9,
     takeRetry: () => true,
     takeClaim: () => true,
   });
-  life.handle({ kind: 'start' }, 0);
-  life.handle({ kind: 'granted', ticketId: 'r.1', endpoint: 'e' }, 0);
+  stateMachine.handle({ kind: 'start' }, 0);
+  stateMachine.handle({ kind: 'granted', ticketId: 'r.1', endpoint: 'e' }, 0);
   for (let index = 0; index < tokens; index += 1) {
-    life.handle({ kind: 'frame', attemptId: 'r-1', index, text: 'token ' }, index);
+    stateMachine.handle({ kind: 'frame', attemptId: 'r-1', index, text: 'token ' }, index);
   }
-  life.handle({ kind: 'finished', attemptId: 'r-1', index: tokens }, tokens);
+  stateMachine.handle({ kind: 'finished', attemptId: 'r-1', index: tokens }, tokens);
 }
 
 function runClaims(count: number): void {
@@ -44,7 +44,10 @@
       'data path',
       'µs of a request’s life',
       'tokens',
-      TOKEN_SIZES.map((size) => ({ size, value: computeMicroseconds(200, () => runLife(size)) })),
+      TOKEN_SIZES.map((size) => ({
+        size,
+        value: computeMicroseconds(200, () => runStateMachine(size)),
+      })),
     ),
     buildSlope(
       'claims',
--- a/src/soak/soak-callers.ts
+++ b/src/soak/soak-callers.ts
@@ -1,7 +1,7 @@
 /** Callers of a randomised run: they send, note what they were told, and compare it with the truth. */
 import { OUTCOME } from '../types/outcomes.js';
 import type { RequestFailure } from '../types/outcomes.js';
-import { REPEATABILITY } from '../requests/life-messages.js';
+import { REPEATABILITY } from '../requests/request-messages.js';
 import type { AnswerEnd, RoutedRequest } from '../requests/routed-request.js';
 import { hashText } from '../utils/hash.js';
 import type { Random } from '../utils/random.js';
