--- a/src/test/crash-play.ts
+++ b/src/test/crash-play.ts
@@ -1,7 +1,7 @@
 /** Plays requests that end every engine which runs them, beside ordinary calls, through the instances of a fleet. */
 import type { CallSink, RoutedCall } from '../calls/call-messages.js';
 import type { ContentId } from '../calls/content-id.js';
-import { createRouteStandings } from '../routes/route-standing.js';
+import { createRouteRanks } from '../routes/route-rank.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import { createActor, createVirtualTime } from '../soak/virtual-time.js';
 import type { VirtualTime } from '../soak/virtual-time.js';
@@ -104,7 +104,7 @@
   const leases = createPlayedLeases(time);
   const network = createPlayedNetwork(time, createRandom(options.seed + 1));
   const contacts = buildContacts(options.instances, options.dataCentres);
-  const standings = createRouteStandings(
+  const standings = createRouteRanks(
     [...options.routes, ...options.repeats.map(({ played }) => played)].map(({ route }) => route),
   );
   contacts.forEach((self, index) => {
@@ -120,7 +120,7 @@
       standings,
       connections: pool.connections,
       takeTrialLease: leases.take,
-      checkAcceptance: (address) => pool.checkAcceptance(address),
+      checkConnection: (address) => pool.checkConnection(address),
       onAttempt: () => undefined,
     });
     network.add(self.address, instance.exchange);
@@ -137,7 +137,7 @@
     onHead: () => undefined,
     onEvent: () => undefined,
     onEnd: () => setEnd('whole'),
-    onAnswer: () => setEnd('failed'),
+    onResponse: () => setEnd('failed'),
     onBroken: () => setEnd('failed'),
     onFailure(failure) {
       setEnd(failure.outcome === 'not_run' ? 'refused' : 'failed');
--- a/src/test/crashing-engines.ts
+++ b/src/test/crashing-engines.ts
@@ -5,8 +5,8 @@
 import type { RoutedCall } from '../calls/call-messages.js';
 import type { ContentId } from '../calls/content-id.js';
 import type { EndpointConnections, ExchangeListener } from '../calls/endpoint-connections.js';
-import { ACCEPTANCE } from '../quarantine/crash-detector.js';
-import type { Acceptance } from '../quarantine/crash-detector.js';
+import { CONNECTION_RESULT } from '../quarantine/crash-detector.js';
+import type { ConnectionResult } from '../quarantine/crash-detector.js';
 import type { VirtualTime } from '../soak/virtual-time.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { buildDataCentre } from './played-contacts.js';
@@ -45,7 +45,7 @@
 /** The pool. */
 export interface CrashingEngines {
   readonly connections: EndpointConnections;
-  checkAcceptance(address: string): Promise<Acceptance>;
+  checkConnection(address: string): Promise<ConnectionResult>;
   /** Every time that a culprit reached an engine. */
   readonly sends: readonly CulpritSend[];
   /** Every end of an engine, with the content under which it ended; an end that the play asks for has none. */
@@ -138,13 +138,13 @@
     connections: {
       open: (address, _connectionsMax, { target }, listener) => open(address, target, listener),
       closeAll: () => undefined,
-      countMade: () => 0,
+      countOpened: () => 0,
       close: () => Promise.resolve(),
     },
-    checkAcceptance: (address) =>
+    checkConnection: (address) =>
       new Promise((resolve) => {
         time.add(undefined, NETWORK_MS, () =>
-          resolve(starts.has(address) ? ACCEPTANCE.Accepted : ACCEPTANCE.Refused),
+          resolve(starts.has(address) ? CONNECTION_RESULT.Accepted : CONNECTION_RESULT.Refused),
         );
       }),
     sends,
--- a/src/test/fleet-play.ts
+++ b/src/test/fleet-play.ts
@@ -4,8 +4,8 @@
 import type { AttemptRecord } from '../calls/call-records.js';
 import type { EndpointConnections } from '../calls/endpoint-connections.js';
 import type { Contact } from '../membership/membership-messages.js';
-import { ACCEPTANCE } from '../quarantine/crash-detector.js';
-import { createRouteStandings } from '../routes/route-standing.js';
+import { CONNECTION_RESULT } from '../quarantine/crash-detector.js';
+import { createRouteRanks } from '../routes/route-rank.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import { createActor, createVirtualTime } from '../soak/virtual-time.js';
 import type { VirtualTime } from '../soak/virtual-time.js';
@@ -133,7 +133,7 @@
       return (engines.get(address) as SimulatedEngine).start(call, listener);
     },
     closeAll: () => undefined,
-    countMade: () => 0,
+    countOpened: () => 0,
     close: () => Promise.resolve(),
   };
 }
@@ -157,10 +157,10 @@
       random: createRandom(options.seed * 1000 + index),
       network,
       listOpen: () => endpoints,
-      standings: createRouteStandings(options.routes.map(({ route }) => route)),
+      standings: createRouteRanks(options.routes.map(({ route }) => route)),
       connections: createConnections(play),
       takeTrialLease: () => Promise.resolve(false),
-      checkAcceptance: () => Promise.resolve(ACCEPTANCE.Accepted),
+      checkConnection: () => Promise.resolve(CONNECTION_RESULT.Accepted),
       onAttempt,
     });
     network.add(self.address, instance.exchange);
@@ -207,7 +207,7 @@
         lastMs = nowMs;
       },
       onEnd: () => setEnd('whole'),
-      onAnswer: () => setEnd('failed'),
+      onResponse: () => setEnd('failed'),
       onBroken: () => setEnd('failed'),
       onFailure: () => setEnd('refused'),
     },
--- a/src/test/load-shares.ts
+++ b/src/test/load-shares.ts
@@ -1,16 +1,16 @@
 /** Shares of load as instances tell them, for tests of placing. */
-import { hashStart } from '../placement/told-loads.js';
-import type { EndpointShareOfLoad } from '../placement/told-loads.js';
+import { hashStartId } from '../placement/remote-loads.js';
+import type { EndpointLoadShare } from '../placement/remote-loads.js';
 
 /** Builds a share of endpoint `a` with nothing under way, but for what is given. */
 export function buildShare({
   endpoint = 'a',
   ...share
-}: Omit<Partial<EndpointShareOfLoad>, 'endpoint'> & {
+}: Omit<Partial<EndpointLoadShare>, 'endpoint'> & {
   readonly endpoint?: string;
-}): EndpointShareOfLoad {
+}): EndpointLoadShare {
   return {
-    endpoint: hashStart(endpoint),
+    endpoint: hashStartId(endpoint),
     running: 0,
     urgent: 0,
     unreadTokens: 0,
--- a/src/test/played-instance.ts
+++ b/src/test/played-instance.ts
@@ -4,17 +4,17 @@
 import type { AttemptRecord } from '../calls/call-records.js';
 import type { EndpointConnections } from '../calls/endpoint-connections.js';
 import type { EndpointProtocol } from '../calls/endpoint-protocol.js';
-import { createTrueTime } from '../duties/true-time.js';
+import { createFleetTime } from '../duties/true-time.js';
 import { createPeerExchange } from '../gateway/peer-exchange.js';
 import type { PeerExchange } from '../gateway/peer-exchange.js';
 import type { Contact } from '../membership/membership-messages.js';
 import { createEndpointLoads } from '../placement/endpoint-loads.js';
 import { createPlacer } from '../placement/placer.js';
-import type { Acceptance } from '../quarantine/crash-detector.js';
+import type { ConnectionResult } from '../quarantine/crash-detector.js';
 import { createQuarantine } from '../quarantine/quarantine.js';
 import type { Quarantine } from '../quarantine/quarantine.js';
 import type { TakeTrialLease } from '../quarantine/trials.js';
-import type { RouteStandings } from '../routes/route-standing.js';
+import type { RouteRanks } from '../routes/route-rank.js';
 import { createInvariants } from '../runtime/invariants.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
@@ -33,10 +33,10 @@
   readonly network: PlayedNetwork;
   /** What the registry lists. */
   readonly listOpen: () => readonly RegisteredEndpoint[];
-  readonly standings: RouteStandings;
+  readonly standings: RouteRanks;
   readonly connections: EndpointConnections;
   readonly takeTrialLease: TakeTrialLease;
-  readonly checkAcceptance: (address: string) => Promise<Acceptance>;
+  readonly checkConnection: (address: string) => Promise<ConnectionResult>;
   readonly onAttempt: (record: AttemptRecord) => void;
 }
 
@@ -57,7 +57,7 @@
   encode: ({ callId }) => ({ method: 'POST', target: callId, headers: [], body: Buffer.alloc(0) }),
   decode: (status, [callId]) => ({
     callId: callId?.value,
-    isUnrun: status === FULL_STATUS,
+    isNotRun: status === FULL_STATUS,
     isWrongEndpoint: false,
     isSigned: true,
     isEventStream: true,
@@ -70,7 +70,7 @@
   const { self, timers, random, network, listOpen, standings } = options;
   const loads = createEndpointLoads();
   const quarantine = createQuarantine({
-    checkAcceptance: options.checkAcceptance,
+    checkConnection: options.checkConnection,
     findEndpoint: (id) => listOpen().find((endpoint) => endpoint.id === id),
     takeTrialLease: options.takeTrialLease,
     getNow: () => timers.clock.monotonicMs(),
@@ -92,7 +92,7 @@
       set: async () => Ok(undefined),
     },
     loads,
-    time: createTrueTime(),
+    time: createFleetTime(),
     quarantine,
     knowledge: {
       applyResponse: () => undefined,
@@ -113,7 +113,7 @@
       random,
       listOpen,
       getStanding: (route, pool) => standings.get(route, pool),
-      isCut: (dataCentre) => exchange.isCut(dataCentre),
+      isDataCentreUnreachable: (dataCentre) => exchange.isDataCentreUnreachable(dataCentre),
       isAvoided: (endpoint) => quarantine.isInTrial(endpoint),
     }),
     retryBounds: { windowMs: 10_000, ratio: 0.2, slack: 50 },
@@ -127,7 +127,7 @@
     findPool: () => undefined,
     countInstances: () => exchange.countInstances(),
     quarantine,
-    onBegun: () => undefined,
+    onStarted: () => undefined,
     checkSendable: () => undefined,
   });
   return { runner, exchange, quarantine };
--- a/src/test/played-lease.ts
+++ b/src/test/played-lease.ts
@@ -1,8 +1,8 @@
 /** Machines with a part in one lease, played step by step, and what the called side sees of its holders. */
-import { resolveLeaseBounds } from '../leases/lease-bounds.js';
+import { computeLeaseTimings } from '../leases/lease-bounds.js';
 import { createLease } from '../leases/lease.js';
-import type { Lease, LeaseCommand, LeaseMessage, Moment } from '../leases/lease.js';
-import type { ReadLease } from '../leases/lease-document.js';
+import type { Lease, LeaseCommand, LeaseMessage, ClockReading } from '../leases/lease.js';
+import type { VersionedLease } from '../leases/lease-document.js';
 import type { Random } from '../utils/random.js';
 
 /** The length of the lease, in milliseconds. */
@@ -101,7 +101,7 @@
 ): ArrivedCall[] {
   const arrived: ArrivedCall[] = [];
   let delayed: Delayed[] = [];
-  let item: ReadLease | undefined;
+  let item: VersionedLease | undefined;
   let revision = 1;
   let store: Trouble = TROUBLE.StoreWell;
   let nowMs = 0;
@@ -110,12 +110,12 @@
     let writes = 0;
     return parts.createLease({
       holder: name,
-      bounds: resolveLeaseBounds(LENGTH_MS),
+      timings: computeLeaseTimings(LENGTH_MS),
       createWriteId() {
         writes += 1;
         return `${name}-${process}-${writes}`;
       },
-      drawDelay: () => random.next(),
+      computeJitter: () => random.next(),
     });
   }
 
@@ -141,7 +141,7 @@
     delayed.push({ atMs: nowMs + ms, run });
   }
 
-  function getMoment(machine: Machine): Moment {
+  function getMoment(machine: Machine): ClockReading {
     return {
       monotonicMs: machine.monotonicMs,
       wallMs: EPOCH_MS + nowMs + machine.wallStepMs,
@@ -180,7 +180,7 @@
       }
       const ending = storeDocument(command);
       const { writeId } = command.document;
-      if (!isLost) postAnswer(machine, process, { kind: 'written', writeId, ending });
+      if (!isLost) postAnswer(machine, process, { kind: 'written', writeId, result: ending });
     });
   }
 
@@ -200,7 +200,7 @@
     const grant = machine.lease.getGrant(getMoment(machine));
     if (grant === undefined || machine.isCutFromCalled || machine.isLeaving) return;
     const { process } = machine;
-    const flightMs = random.next() ** FLIGHT_SKEW * grant.leftMs;
+    const flightMs = random.next() ** FLIGHT_SKEW * grant.remainingMs;
     machine.inFlight += 1;
     addDelayed(flightMs, () => {
       if (machine.process !== process) return;
--- a/src/test/played-network.ts
+++ b/src/test/played-network.ts
@@ -51,7 +51,7 @@
     },
     createLinks: ({ name }) => ({
       send(address, body: PeerMessage['body']) {
-        send(address, (peer) => peer.handleBodies(name, [body]));
+        send(address, (peer) => peer.handleMessages(name, [body]));
       },
       fetchConfiguration: refuse,
       fetchKnowledge: refuse,
@@ -62,7 +62,7 @@
         for (const load of encodeTelling(telling, dataCentre, knowledge, sentTime)) {
           const told = decodeTelling(name, load);
           for (const address of telling.addresses) {
-            if (told !== undefined) sendDatagram(address, (peer) => peer.handleTold(told));
+            if (told !== undefined) sendDatagram(address, (peer) => peer.handlePeerStatus(told));
           }
         }
       },
@@ -74,7 +74,7 @@
       },
       sendUsage: () => undefined,
       sendGossip(address, body) {
-        sendDatagram(address, (peer) => peer.handleBodies(name, [body]));
+        sendDatagram(address, (peer) => peer.handleMessages(name, [body]));
       },
     }),
     countSent: () => sent,
--- a/src/test/played-routes.ts
+++ b/src/test/played-routes.ts
@@ -61,7 +61,7 @@
     route,
     pool: POOL,
     organisation: undefined,
-    isKeyed: false,
+    isAuthenticated: false,
     urgency: route.priority,
     prompt: {
       model: 'm',
