--- a/src/lifecycle/drain.test.ts
+++ b/src/lifecycle/drain.test.ts
@@ -4,10 +4,9 @@
 const TIMEOUT_MS = 7300;
 const NOTICE_MS = 2800;
 
-describe('leaving', ({ it }) => {
-  // A caller keeps using an open connection for seconds after the instance began to leave. What comes
-  // after the balancer's notice cannot be finished any more: it was taken, and cut at the exit.
-  it('accepts until the balancer has noticed, and never again', (t) => {
+describe('graceful shutdown', ({ it }) => {
+  // Guards against accepting requests on open connections that are then cut off by the exit.
+  it('accepts requests until the balancer has deregistered the instance, and none after', (t) => {
     const drain = createDrain(TIMEOUT_MS, NOTICE_MS);
     drain.handle({ kind: 'configured' }, 0);
     drain.handle({ kind: 'leave' }, 1000);
--- a/src/lifecycle/drain.ts
+++ b/src/lifecycle/drain.ts
@@ -1,42 +1,37 @@
 /**
- * Leaving without cutting anything off, free of I/O: stop being ready, tell the others, let the
- * balancer notice, wait for every request in flight, then go. A second signal changes nothing.
+ * State machine for graceful shutdown. Performs no I/O. The instance becomes unready, announces that
+ * it leaves, gives the load balancer time to deregister it, and stops once no request is in flight or
+ * the timeout has passed.
  */
 
-/** Stages from start to end. */
+/** Stages of an instance, in order. */
 export const STAGE = {
   Starting: 'starting',
   Ready: 'ready',
-  /** Not ready any more, but callers that still come are served. */
+  /** Not ready; requests are still accepted for a while. */
   Leaving: 'leaving',
   Drained: 'drained',
 } as const;
 export type Stage = (typeof STAGE)[keyof typeof STAGE];
 
-/** Callers are still accepted this long after readiness went off: the balancer needs a moment. */
+/** Requests are accepted for this time after the instance becomes unready. */
 const BALANCER_NOTICE_MS = 2000;
 
-/** What the lifecycle is told. */
 export type DrainMessage =
   | { readonly kind: 'configured' }
   | { readonly kind: 'leave' }
   | { readonly kind: 'tick'; readonly inFlight: number };
 
-/** What the lifecycle asks for. */
 export type DrainCommand = 'announce_leaving' | 'stop_accepting' | 'announce_left' | 'stop';
 
-/** The lifecycle of one instance. */
 export interface Drain {
   handle(message: DrainMessage, nowMs: number): DrainCommand[];
   getStage(): Stage;
-  /** Whether what still comes is served. */
+  /** Whether new requests are served. */
   isAccepting(): boolean;
 }
 
-/**
- * Builds the lifecycle of an instance that starts; callers are accepted for `noticeMs` after it leaves.
- * @default noticeMs 2000
- */
+/** @default noticeMs 2000 */
 export function createDrain(timeoutMs: number, noticeMs = BALANCER_NOTICE_MS): Drain {
   let stage: Stage = STAGE.Starting;
   let leavingSinceMs = 0;
@@ -63,7 +58,7 @@
           if (stage === STAGE.Starting) stage = STAGE.Ready;
           return [];
         case 'leave':
-          // A second signal must not cut off what the first one let go on.
+          // A second signal must not restart or shorten the shutdown.
           if (stage === STAGE.Leaving || stage === STAGE.Drained) return [];
           stage = STAGE.Leaving;
           leavingSinceMs = nowMs;
--- a/src/observability/call-metrics.ts
+++ b/src/observability/call-metrics.ts
@@ -1,11 +1,11 @@
-/** Counters and latency histograms of routed calls, in the usual text format, by prom-client. */
+/** Prometheus metrics of routed calls, by prom-client. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { RoutedCall } from '../calls/call-messages.js';
 
-/** Upper bounds of latency buckets, in seconds: around the declared targets of 0.12 to 1.5 s and deadlines of 0.6 to 10 s. */
+/** Upper bounds, around the usual latency targets (0.12 to 1.5 s) and deadlines (0.6 to 10 s). */
 const LATENCY_BUCKETS_S = [0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2.5, 5, 10];
 
-/** How a call ended, as a label of few values. */
+/** Results of calls, as label values. */
 export const CALL_RESULT = {
   Served: 'served',
   Failed: 'failed',
@@ -15,48 +15,46 @@
 } as const;
 export type CallResult = (typeof CALL_RESULT)[keyof typeof CALL_RESULT];
 
-/** Values that are read when somebody asks. */
+/** Values that are read at each scrape. */
 export interface MetricSources {
   readonly getConfigurationVersion: () => number;
   readonly getKnowledgeAgeSeconds: () => number;
   readonly countInstances: () => number;
   readonly countCalls: () => number;
   readonly countConnectionsMade: () => number;
-  /** The fencing number under which this instance holds the fleet's duties; 0 where it does not. */
+  /** Fencing number of the duty lease; 0 if this instance does not hold it. */
   readonly getDutyFence: () => number;
   readonly countUnsentWindows: () => number;
 }
 
-/** Metrics of one instance. */
 export interface CallMetrics {
-  /** A call ended; labels by kind of route and urgency, whose numbers are small, never by organisation. */
+  /** Labels exclude the organisation, to bound their cardinality. */
   recordCall(
     call: Pick<RoutedCall, 'route' | 'urgency'>,
     result: CallResult,
     firstMs: number,
     tookMs: number,
   ): void;
-  /** A call was sent that had waited at this instance. */
+  /** Records the time from a request to the start of an attempt. */
   recordWait(urgency: number, waitedMs: number): void;
-  /** The longest pause of a stream that ended, by route. */
+  /** Records the longest pause of a stream that has ended. */
   recordPause(route: string, pauseMs: number): void;
   recordAttempt(end: string): void;
-  /** An endpoint ended while calls of this instance ran there. */
+  /** Records that an endpoint crashed with calls of this instance in flight. */
   recordCrash(evidence: string): void;
-  /** The standing of a content under which endpoints crashed changed, at this instance. */
+  /** Records the new quarantine standing of a content. */
   recordStanding(standing: string): void;
-  /** A call was refused for the crashes of its content, or its organisation's. */
+  /** Records a call refused because of crashes of its content or organisation. */
   recordQuarantineRefusal(): void;
-  /** A request was refused before a call was made of it. */
+  /** Records a request refused before routing. */
   recordRefusal(failure: string): void;
-  /** A word that this release does not know was read. */
+  /** Records a value of a newer release. */
   recordUnknown(place: string): void;
-  /** A call that one instance makes for the fleet ended. */
+  /** Records a call to the platform made on behalf of the fleet. */
   recordDuty(duty: string, outcome: string): void;
   format(): Promise<string>;
 }
 
-/** Builds metrics. */
 export function createCallMetrics(sources: MetricSources): CallMetrics {
   const registry = new Registry();
   const registers = [registry];
--- a/src/observability/call-observer.ts
+++ b/src/observability/call-observer.ts
@@ -1,4 +1,4 @@
-/** Turns what happens to calls into log lines and metrics. */
+/** Logs events of calls and records their metrics. */
 import type { AttemptEnd, CallCommand } from '../calls/call-messages.js';
 import type { AttemptRecord, CallEnd, CallObserver } from '../calls/call-records.js';
 import { OUTCOME } from '../types/outcomes.js';
@@ -6,10 +6,8 @@
 import type { CallMetrics, CallResult } from './call-metrics.js';
 import type { DecisionLog } from './decision-log.js';
 
-/** An answer with this status or a higher one is an endpoint's own failure. */
 const SERVER_ERROR_MIN = 500;
 
-/** What an observer needs to know beside the calls. */
 export interface CallObserverOptions {
   readonly log: DecisionLog;
   readonly metrics: CallMetrics;
@@ -66,7 +64,6 @@
   }
 }
 
-/** Builds an observer. */
 export function createCallObserver(options: CallObserverOptions): CallObserver {
   const { log, metrics } = options;
   return {
@@ -113,7 +110,7 @@
         {
           event: 'call_ended',
           request: call.callId,
-          // Hashing a body is paid for by those calls only that somebody may ask about.
+          // Served calls need no content hash, which is computed on demand.
           content: result === CALL_RESULT.Served ? undefined : call.contentId,
           route: call.route.name,
           urgency: call.urgency,
--- a/src/observability/decision-log.test.ts
+++ b/src/observability/decision-log.test.ts
@@ -28,9 +28,8 @@
 }
 
 describe('decision log', ({ it }) => {
-  // A tenant floods the router and everything is refused. The lines must not drown those on what
-  // the process believes, and what is left out is said.
-  it('keeps a flood of refusals within its share and counts the rest', async (t) => {
+  // Guards against a burst of refusals displacing lines on the state of the process.
+  it('limits lines on refusals and reports the number dropped', async (t) => {
     const { lines, timers, log } = createHarness(() => 0);
     for (let count = 0; count < 1000; count += 1) log.write(REFUSED);
     log.write(STARTED);
@@ -43,8 +42,8 @@
     timers.stop();
   });
 
-  // Nobody reads the log any more: lines are left out rather than kept or waited for.
-  it('writes nothing while nobody reads', (t) => {
+  // Guards against unbounded memory use if the reader of the log stops reading.
+  it('drops lines while too much output is unread', (t) => {
     const { lines, timers, log } = createHarness(() => 10_000_000);
     log.write(STARTED);
     t.deepEqual(lines, []);
--- a/src/observability/decision-log.ts
+++ b/src/observability/decision-log.ts
@@ -1,7 +1,6 @@
 /**
- * Writes decisions as JSON lines within a budget, so that a flood of refusals or a reader that stops
- * reading costs no call anything. Each kind of line has its own share; what is left out is counted
- * and said once a second.
+ * Rate-limited log of decisions, as JSON lines. Each kind of line has its own limit, and all lines are
+ * dropped while the reader is too far behind. The number of dropped lines is logged each second.
  */
 import type { Logger } from '../runtime/logger.js';
 import type { TimerService } from '../runtime/timer-service.js';
@@ -9,30 +8,28 @@
 import type { LogEvent, LogKind } from './log-events.js';
 
 const WINDOW_MS = 1000;
-/** Lines of each kind in a second: 150 lines of 300 bytes are 45 KB a second at the most. */
 const LINES_PER_WINDOW: Readonly<Record<LogKind, number>> = {
   [LOG_KIND.State]: 50,
   [LOG_KIND.Failure]: 60,
   [LOG_KIND.Served]: 40,
 };
-/** Bytes that may wait for a reader; beyond them lines are left out. */
 const UNREAD_BYTES_MAX = 256 * 1024;
 
-/** What a log writes to. */
 export interface DecisionLogOptions {
   readonly logger: Logger;
   readonly timers: TimerService;
-  /** Bytes written that nobody has read yet. */
+  /** Returns the number of bytes written but not yet read. */
   readonly countUnread: () => number;
 }
 
-/** The log of decisions. */
 export interface DecisionLog {
-  /** @default isGood true */
+  /**
+   * `isGood`: whether the call succeeded in time.
+   * @default isGood true
+   */
   write(event: LogEvent, isGood?: boolean): void;
 }
 
-/** Builds a log; its windows run from here on. */
 export function createDecisionLog({
   logger,
   timers,
--- a/src/observability/duty-observer.ts
+++ b/src/observability/duty-observer.ts
@@ -1,15 +1,13 @@
-/** Turns what happens to the fleet's duties into log lines and metrics. */
+/** Logs events of fleet duties and records their metrics. */
 import type { DutyObserver } from '../duties/duty-observer.js';
 import type { CallMetrics } from './call-metrics.js';
 import type { DecisionLog } from './decision-log.js';
 
-/** What the observer writes to. */
 export interface DutyObserverOptions {
   readonly log: DecisionLog;
   readonly metrics: Pick<CallMetrics, 'recordDuty'>;
 }
 
-/** Builds an observer. */
 export function createDutyObserver({ log, metrics }: DutyObserverOptions): DutyObserver {
   return {
     onHolderChanged: (holder) => log.write({ event: 'duty_holder_changed', ...holder }),
--- a/src/observability/explain.test.ts
+++ b/src/observability/explain.test.ts
@@ -7,8 +7,7 @@
 }
 
 describe('explaining a request', ({ it }) => {
-  // A clerk complains of a refusal. The instance had lost the store two seconds earlier.
-  it('puts what its instance believed beside what happened to it, in order', (t) => {
+  it('lists its lines and state changes of its instance in order of time', (t) => {
     const story = listStory('r1', [
       buildLine(37, 'front-1', 'request_refused', { request: 'r1', knowledgeAgeMs: 4569 }),
       'something else',
@@ -24,12 +23,12 @@
     t.regex(story[1] ?? '', /knowledgeAgeMs=4569/);
   });
 
-  it('tells nothing of a request that left no line', (t) => {
+  it('returns nothing for a request without log lines', (t) => {
     t.deepEqual(listStory('r2', [buildLine(1, 'front-1', 'started', {})]), []);
   });
 
-  // A caller asks why its request was refused though it never ran: others had asked for the same before.
-  it('names earlier calls that asked for the same', (t) => {
+  // Guards against an unexplained refusal of a request whose content failed in earlier calls.
+  it('lists earlier calls with the same content', (t) => {
     const story = listStory('r2', [
       buildLine(1, 'front-1', 'attempt_failed', { request: 'r1', content: 'x', endpoint: 'e1' }),
       buildLine(2, 'front-2', 'attempt_failed', { request: 'r9', content: 'y', endpoint: 'e2' }),
--- a/src/observability/explain.ts
+++ b/src/observability/explain.ts
@@ -1,6 +1,5 @@
-/** Finds one request's story in the logs of several instances. */
+/** Finds the log lines that explain a request in the logs of several instances. */
 
-/** A line as it was written. */
 interface LoggedLine {
   readonly timestamp: string;
   readonly instance: string;
@@ -8,7 +7,7 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Events that change what an instance believes; those before a request explain its decisions. */
+/** Events that change the state on which an instance bases its decisions. */
 const BELIEFS = new Set([
   'configuration_reported',
   'endpoint_changed',
@@ -24,7 +23,7 @@
   'started',
   'lines_left_out',
 ]);
-/** How far back beliefs are looked up, in milliseconds: knowledge of keys is refused when it is five seconds old. */
+/** Covers state changes whose effects are delayed, such as the expiry of stale knowledge. */
 const LOOK_BACK_MS = 10_000;
 
 function parseLine(text: string): LoggedLine | undefined {
@@ -38,12 +37,11 @@
     if (typeof timestamp !== 'string' || typeof message !== 'string') return undefined;
     return { timestamp, instance: String(instance), message, fields };
   } catch {
-    // Not a line of ours; logs of several programs may share a file.
+    // Log files may contain lines of other programs.
     return undefined;
   }
 }
 
-/** Fields that say nothing about a story. */
 const HIDDEN = new Set(['level', 'dataCentre']);
 
 function isText(value: unknown): value is string {
@@ -60,13 +58,13 @@
   return `${timestamp} ${instance} ${message} ${rest.join(' ')}`.trimEnd();
 }
 
-/** Whether a belief bears on a request: its instance's own, or of an endpoint the request met. */
+/** Whether a line is a state change that may have affected a request sent to `endpoints`. */
 function isRelevant(line: LoggedLine, endpoints: ReadonlySet<unknown>): boolean {
   if (!BELIEFS.has(line.message)) return false;
   return line.message !== 'endpoint_changed' || endpoints.has(line.fields.endpoint);
 }
 
-/** Lines of earlier calls that asked for the same, and what was made of them. */
+/** Lines of earlier calls with the same content, and of quarantine decisions on it. */
 function listSameContent(own: readonly LoggedLine[], lines: readonly LoggedLine[]): LoggedLine[] {
   const contents = new Set(own.map(({ fields }) => fields.content).filter(isText));
   const times = own.map(({ timestamp }) => Date.parse(timestamp));
@@ -80,7 +78,7 @@
   );
 }
 
-/** The lines that explain a request, in order of time; none where it left no trace. */
+/** Returns lines in order of time; none if the request was not logged. */
 export function listStory(requestId: string, texts: readonly string[]): string[] {
   const lines = texts.map(parseLine).filter((line) => line !== undefined);
   const own = lines.filter(({ fields }) => fields.request === requestId);
--- a/src/observability/log-events.ts
+++ b/src/observability/log-events.ts
@@ -1,7 +1,6 @@
-/** The catalogue of log lines: every event with its fields. docs/OPERATIONS.md explains each. */
+/** All log events and their fields, documented in docs/OPERATIONS.md. */
 import type { UnknownValue } from './unknown-values.js';
 
-/** One line. */
 export type LogEvent =
   | { readonly event: 'started'; readonly callers: string; readonly peers: string }
   | { readonly event: 'stopped'; readonly reason: string }
@@ -14,14 +13,14 @@
       readonly knowledgeAgeMs: number;
     }
   | { readonly event: 'source_back'; readonly feed: string }
-  /** Whether this instance follows the source itself or asks instances that do. */
+  /** Whether this instance watches the source itself or queries peers that do. */
   | { readonly event: 'watching_changed'; readonly isWatching: boolean }
   | { readonly event: 'clocks_parted'; readonly configurationVersion: number }
   | {
       readonly event: 'configuration_reported';
       readonly version: number;
       readonly outcome: string;
-      /** 'source', or the peer that told. */
+      /** 'source' or the name of a peer. */
       readonly source: string;
     }
   | {
@@ -38,7 +37,7 @@
       readonly source: string;
     }
   | {
-      /** An endpoint ended while calls of this instance ran there. */
+      /** An endpoint crashed with calls of this instance in flight. */
       readonly event: 'endpoint_crashed';
       readonly endpoint: string;
       readonly pool: string;
@@ -46,20 +45,20 @@
       readonly contents: readonly string[];
     }
   | {
-      /** The crashes of endpoints that speak against a content changed how it stands. */
+      /** The quarantine standing of a content changed. */
       readonly event: 'content_judged';
       readonly content: string;
       readonly standing: string;
       readonly before: string;
-      /** Where they happened: names, or hashes of starts that this instance never knew. */
+      /** Endpoints that crashed; hashes of start ids where this instance does not know the name. */
       readonly endpoints: readonly string[];
-      /** 'own', 'source', 'operator', or the peer that told. */
+      /** 'own', 'source', 'operator' or the name of a peer. */
       readonly source: string;
-      /** Since the last of them. */
+      /** Time since the last crash. */
       readonly ageMs: number;
     }
   | {
-      /** A call was not sent: endpoints crashed under its content, or under many of its organisation. */
+      /** A call was refused because of crashes of its content or organisation. */
       readonly event: 'content_refused';
       readonly request: string;
       readonly content: string;
@@ -67,7 +66,7 @@
       readonly organisation: string;
     }
   | {
-      /** An operator lets a content run again. */
+      /** An operator released a content from quarantine. */
       readonly event: 'content_released';
       readonly content: string;
       readonly who: string;
@@ -79,10 +78,10 @@
       readonly verdict: string;
       readonly reason: string;
     }
-  /** Errors that nobody caught: of a link to a peer, which goes on, or any other, which ends the process. */
+  /** Uncaught errors: of a connection to a peer, or (`failed`) any other, which ends the process. */
   | { readonly event: 'link_failed' | 'failed'; readonly reason: string }
   | { readonly event: 'datagram_refused'; readonly reason: string }
-  /** Another instance, or this one, does the fleet's duties now. */
+  /** The fleet duties have moved to another instance or to this one. */
   | {
       readonly event: 'duty_holder_changed';
       readonly holder: string;
@@ -106,7 +105,7 @@
     }
   | { readonly event: 'duty_failed'; readonly reason: string }
   | ({
-      /** A word of a newer release, said once. */
+      /** A value of a newer release; logged once per value. */
       readonly event: 'unknown_value';
     } & UnknownValue)
   | { readonly event: 'peer_changed'; readonly peer: string; readonly state: string }
@@ -117,7 +116,7 @@
       readonly knowledgeAgeMs: number;
     }
   | {
-      /** A request was answered without a call being made of it. */
+      /** A request was refused before routing. */
       readonly event: 'request_refused';
       readonly request: string;
       readonly failure: string;
@@ -130,11 +129,11 @@
       readonly urgency: number;
       readonly attempt: number;
       readonly endpoint: string;
-      /** Calls and unread prompt tokens that were known to be under way there. */
+      /** Known load of the endpoint: running calls and prompt tokens not yet processed. */
       readonly endpointRunning: number;
       readonly endpointUnreadTokens: number;
       readonly candidates: number;
-      /** How long the call was read and held at this instance before. */
+      /** Time from the request to this attempt. */
       readonly waitedMs: number;
       readonly remainingMs: number;
       readonly configurationVersion: number;
@@ -143,7 +142,7 @@
   | {
       readonly event: 'attempt_failed';
       readonly request: string;
-      /** The same for every call that asks for the same. */
+      /** Content hash. */
       readonly content: string;
       readonly attempt: number;
       readonly endpoint: string;
@@ -153,7 +152,7 @@
   | {
       readonly event: 'call_ended';
       readonly request: string;
-      /** The same for every call that asks for the same; of calls that were not served. */
+      /** Content hash; only for calls that were not served. */
       readonly content: string | undefined;
       readonly route: string;
       readonly organisation: string;
@@ -161,13 +160,13 @@
       readonly end: string;
       readonly attempts: number;
       readonly firstMs: number;
-      /** Events that came, and the mean pause between two. */
       readonly events: number;
+      /** Mean pause between two events. */
       readonly meanPauseMs: number;
-      /** The longest pause between two events and the one that is still in time; 0 and absent where there was none. */
+      /** Longest pause between two events; 0 if there was none. */
       readonly pauseMs: number;
       readonly pauseTargetMs: number | undefined;
-      /** Events before that pause, and what was known of the engine when it began. */
+      /** Events before the longest pause, and the known load of the endpoint at its start. */
       readonly pauseAfterEvents: number;
       readonly pauseUnreadTokens: number;
       readonly pauseRunning: number;
@@ -176,18 +175,18 @@
     }
   | { readonly event: 'lines_left_out'; readonly kind: LogKind; readonly lines: number };
 
-/** Kinds of lines that have a budget of their own. */
+/** Kinds of lines, each with its own rate limit. */
 export const LOG_KIND = {
-  /** Start, stop, reload, dependencies, knowledge. */
+  /** State of the process and of its dependencies. */
   State: 'state',
-  /** Requests that were refused, failed, retried or late. */
+  /** Requests that were refused, retried or late, or that failed. */
   Failure: 'failure',
-  /** Requests that went well. */
+  /** Requests that succeeded in time. */
   Served: 'served',
 } as const;
 export type LogKind = (typeof LOG_KIND)[keyof typeof LOG_KIND];
 
-/** The kind of a line; `isGood` says whether a call ended well and in time. */
+/** `isGood`: whether the call succeeded in time. */
 export function resolveLogKind(event: LogEvent, isGood: boolean): LogKind {
   switch (event.event) {
     case 'request_refused':
--- a/src/observability/quarantine-observer.ts
+++ b/src/observability/quarantine-observer.ts
@@ -1,4 +1,4 @@
-/** Turns what the quarantine finds into log lines and metrics. */
+/** Logs events of the quarantine and records their metrics. */
 import type { EndpointKey } from '../placement/remote-loads.js';
 import { STANDING } from '../quarantine/crash-case.js';
 import type { CrashCase } from '../quarantine/crash-case.js';
@@ -6,16 +6,14 @@
 import type { CallMetrics } from './call-metrics.js';
 import type { DecisionLog } from './decision-log.js';
 
-/** What the observer needs to know beside the cases. */
 export interface QuarantineObserverOptions {
   readonly log: DecisionLog;
   readonly metrics: CallMetrics;
   readonly getNow: () => number;
-  /** The name of an endpoint's start, where this instance knows it. */
+  /** Returns the name of an endpoint, or undefined if it is unknown to this instance. */
   readonly findName: (start: EndpointKey) => string | undefined;
 }
 
-/** Builds an observer. */
 export function createQuarantineObserver(options: QuarantineObserverOptions): QuarantineObserver {
   const { log, metrics, getNow } = options;
 
@@ -41,7 +39,7 @@
     },
     onChanged({ subject, before, standing }, source) {
       if (standing === before) return;
-      // What fell with an endpoint once is in that endpoint's line, and most of it is soon cleared.
+      // A single crash is logged as `endpoint_crashed`, and most suspects are soon cleared.
       if (
         standing === STANDING.Suspect ||
         (before === STANDING.Suspect && standing === STANDING.Clear)
--- a/src/peers/attempt-verdict.ts
+++ b/src/peers/attempt-verdict.ts
@@ -1,9 +1,8 @@
-/** What an entry says of an attempt, between the wire and the program. */
+/** Converts attempt verdicts to and from their wire form. */
 import type { AttemptVerdict } from '../claims/claim.js';
 import { AttemptVerdict as WireVerdict } from '../gen/peer_pb.js';
 import { assertNever } from '../utils/assert-never.js';
 
-/** The verdict for the wire. */
 export function encodeVerdict(verdict: AttemptVerdict): WireVerdict {
   switch (verdict) {
     case 'abandoned':
@@ -17,7 +16,7 @@
   }
 }
 
-/** The verdict off the wire; what cannot be read proves nothing. */
+/** A value of a newer release is read as `unknown`. */
 export function parseVerdict(verdict: WireVerdict): AttemptVerdict {
   switch (verdict) {
     case WireVerdict.ABANDONED:
--- a/src/peers/datagrams.test.ts
+++ b/src/peers/datagrams.test.ts
@@ -8,7 +8,7 @@
 
 const SECRET = 'a secret';
 const HOST = '127.0.0.1';
-/** Field 900 of the envelope, as a newer release might write it: tag, length, bytes. */
+/** Unknown field 900 of the envelope: tag, length, bytes. */
 const LATER_FIELD = Uint8Array.from([0xa2, 0x38, 2, 7, 7]);
 
 function encodeLoad(scope: LoadScope): Uint8Array {
@@ -21,9 +21,9 @@
   return toBinary(DatagramSchema, message);
 }
 
-describe('datagrams of another release', ({ it }) => {
-  // Guards against ten lines a second from each newer peer, and against a throw that ends the process.
-  it('are named and passed over, and their known parts are read', async (t) => {
+describe('datagrams of a newer release', ({ it }) => {
+  // Guards against an uncaught error that ends the process and against repeated errors in the log.
+  it('are reported as unknown, and their known fields are decoded', async (t) => {
     const probe = createSocket('udp4').bind(0, HOST);
     await once(probe, 'listening');
     const { port } = probe.address();
--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams between instances: told loads and gossip. Both are small, frequent, and replaced or
- * repeated where one is lost; as calls over HTTP/2 they take several times the processor time.
+ * UDP datagrams between instances, for frequent small messages that are repeated or superseded if
+ * lost. They take much less processor time than calls over HTTP/2.
  */
 import { timingSafeEqual } from 'node:crypto';
 import { createSocket } from 'node:dgram';
@@ -17,7 +17,6 @@
 import type { KnowledgeSummary } from './peer-links.js';
 import type { PeerTelling } from './peer-telling.js';
 
-/** Datagrams to and from peers. */
 export interface Datagrams {
   sendLoads(
     telling: AddressedLoadUpdate,
@@ -30,11 +29,10 @@
   close(): void;
 }
 
-/** What the datagrams are built on. */
 export interface DatagramsOptions {
   readonly self: string;
   readonly dataCentre: string;
-  /** Shared by all instances; datagrams without it are passed over. */
+  /** Shared by all instances; datagrams with another secret are reported to `onError` and dropped. */
   readonly secret: string;
   readonly host: string;
   readonly port: number;
@@ -42,13 +40,13 @@
   readonly onGossip: (from: string, body: PeerMessage['body']) => void;
   readonly onCases: (from: string, cases: readonly CaseReport[]) => void;
   readonly onUsage: (telling: UsageUpdate) => void;
-  /** A peer of a newer release sent something that this one does not know. */
+  /** Called for a message kind or value of a newer release, which is ignored. */
   readonly onUnknown: (field: string, value: string) => void;
-  /** A datagram that could not be sent or understood. */
+  /** Called if a datagram cannot be sent, authenticated or decoded. */
   readonly onError: (reason: string) => void;
 }
 
-/** Opens the socket. */
+/** Binds the socket. */
 export function openDatagrams(options: DatagramsOptions): Datagrams {
   const { self, dataCentre, secret } = options;
   const expected = Buffer.from(secret);
--- a/src/peers/encode-cases.ts
+++ b/src/peers/encode-cases.ts
@@ -1,10 +1,10 @@
-/** Evidence on contents in the form in which it travels between instances. */
+/** Converts crash case reports to and from their wire form. */
 import { create } from '@bufbuild/protobuf';
 import { CrashCaseSchema, TellCasesSchema } from '../gen/peer_pb.js';
 import type { CrashCase, TellCases } from '../gen/peer_pb.js';
 import type { CaseReport } from '../quarantine/case-ledger.js';
 
-/** The longest time that fits its field, in milliseconds: 49 days. */
+/** Largest value of a `uint32` field; about 49 days. */
 const AGO_MAX_MS = 2 ** 32 - 1;
 
 function encodeMs(ms: number): number {
@@ -41,12 +41,10 @@
   };
 }
 
-/** Builds a telling. */
 export function encodeCases(cases: readonly CaseReport[]): TellCases {
   return create(TellCasesSchema, { cases: cases.map(encodeCase) });
 }
 
-/** Reads a telling. */
 export function decodeCases(told: TellCases): CaseReport[] {
   return told.cases.map(decodeCase);
 }
--- a/src/peers/encode-table.ts
+++ b/src/peers/encode-table.ts
@@ -1,10 +1,10 @@
-/** Rows of the source's tables in the form in which instances answer each other. */
+/** Converts rows of the source's tables to and from their wire form. */
 import { create } from '@bufbuild/protobuf';
 import { TableKnowledgeSchema } from '../gen/peer_pb.js';
 import type { TableKnowledge, TableRow } from '../gen/peer_pb.js';
 import type { MirrorChanges, MirroredRow } from '../knowledge/table-mirror.js';
 
-/** Builds what is told of a table. `knownAtMs`: when, on the source's clock, it was surely the newest. */
+/** `knownAtMs`: latest time on the source clock at which the table is known to have been current. */
 export function encodeTable(
   { kind, rows }: MirrorChanges,
   revision: number,
@@ -23,7 +23,6 @@
   });
 }
 
-/** Reads the rows of a table as a peer told it. */
 export function decodeRows(rows: readonly TableRow[]): MirroredRow[] {
   return rows.map(({ key, value, revision }) => ({ key, value, revision }));
 }
--- a/src/peers/encode-telling.test.ts
+++ b/src/peers/encode-telling.test.ts
@@ -13,11 +13,11 @@
   endpointsRevision: 9,
   confirmedAtMs: 1234.5,
 };
-/** What a datagram may take so that it travels in one Ethernet frame, in bytes, less what is around a telling. */
+/** Size of an Ethernet frame less the headers and the envelope. */
 const DATAGRAM_BYTES_MAX = 1400;
 
-/** Shares with quantities in the units in which they travel. */
 const TIME = { fleetMs: 1_700_000_000_001, hops: 2 };
+/** Quantities are multiples of their wire units, so that encoding is lossless. */
 const SHARE: fc.Arbitrary<EndpointLoadShare> = fc.record({
   endpoint: fc.integer({ min: 0, max: 2 ** 32 - 1 }),
   running: fc.nat(120),
@@ -33,13 +33,13 @@
   return encodeTelling(telling, 'dc', KNOWLEDGE, TIME).map((load) => {
     const bytes = toBinary(TellLoadSchema, load);
     const told = decodeTelling('i', fromBinary(TellLoadSchema, bytes));
-    if (told === undefined) throw new TypeError('a telling of this release was not understood');
+    if (told === undefined) throw new TypeError('load update with an unknown scope');
     return { bytes, told };
   });
 }
 
-describe('tellings on their way', ({ it }) => {
-  it('arrive as they were sent, each endpoint in one part', (t) => {
+describe('load updates', ({ it }) => {
+  it('are decoded as they were encoded, each endpoint in one part', (t) => {
     const shares = fc.uniqueArray(SHARE, { maxLength: 400, selector: ({ endpoint }) => endpoint });
     fc.assert(
       fc.property(shares, (sent) => {
@@ -60,15 +60,14 @@
     );
   });
 
-  it('carry what the sender knows', (t) => {
+  it('include the knowledge summary of the sender', (t) => {
     const [part] = sendThrough({ scope: LOAD_SCOPE.Own, shares: [], heardDataCentres: [] });
     t.deepEqual(part?.told.knowledge, KNOWLEDGE);
     t.is(part?.told.scope, LOAD_SCOPE.Own);
   });
 
-  // A datagram of more than one frame is lost with any of its frames, and a fleet of hundreds sends
-  // thousands a second.
-  it('fit a frame each, however many engines are busy', (t) => {
+  // Guards against IP fragmentation: a fragmented datagram is lost if any of its fragments is.
+  it('fit one Ethernet frame per datagram with many busy endpoints', (t) => {
     const shares = Array.from({ length: 180 }, (_, index) => ({
       endpoint: index * 23_000_000,
       running: 20,
--- a/src/peers/encode-telling.ts
+++ b/src/peers/encode-telling.ts
@@ -1,4 +1,7 @@
-/** Tellings of load in the form in which they travel: whole numbers in columns, split where they outgrow a datagram. */
+/**
+ * Converts load updates to and from their wire form: columns of integers, split into several
+ * datagrams if needed.
+ */
 import { create } from '@bufbuild/protobuf';
 import { LoadScope, TellLoadSchema } from '../gen/peer_pb.js';
 import type { TellLoad } from '../gen/peer_pb.js';
@@ -9,11 +12,11 @@
 import type { KnowledgeSummary } from './peer-links.js';
 import type { PeerTelling } from './peer-telling.js';
 
-/** Shares in one datagram: up to 15 bytes each, so that it fits an Ethernet frame. */
+/** Fits an Ethernet frame at up to 15 bytes per share. */
 const SHARES_MAX = 90;
-/** Endpoints are hashed to numbers below this. */
+/** Endpoint keys are 32-bit hashes. */
 const HASHES = 2 ** 32;
-/** Units in which quantities travel: finer than what changes a choice, so that each takes a byte or two. */
+/** Wire units, coarse enough that most values take one or two bytes. */
 const UNREAD_UNIT_TOKENS = 64;
 const COUNTS_PER_CALL = 8;
 const READ_UNIT_TOKENS = 256;
@@ -38,7 +41,7 @@
   }
 }
 
-/** Time and hops share one number: the hops are what is left of a division by this. */
+/** Fleet time and hop count share one number, to save space: `time * HOPS_UNIT + hops`. */
 const HOPS_UNIT = 4;
 
 function encodeTime({ fleetMs, hops }: PeerTime): number {
@@ -49,7 +52,10 @@
   return { fleetMs: Math.floor(value / HOPS_UNIT), hops: value % HOPS_UNIT };
 }
 
-/** An endpoint stays in its part from telling to telling: what a part does not name has nothing. */
+/**
+ * Assigns endpoints to parts by hash range, so that an endpoint has the same part in every update of
+ * as many parts. An endpoint missing from its part has no load.
+ */
 function listPart(
   shares: readonly EndpointLoadShare[],
   part: number,
@@ -59,7 +65,7 @@
   return shares.filter(({ endpoint }) => Math.floor((endpoint / HASHES) * parts) === part);
 }
 
-/** Builds the datagrams of one telling. */
+/** Returns one message per datagram. */
 export function encodeTelling(
   { scope, shares, heardDataCentres }: LoadUpdate,
   dataCentre: string,
@@ -95,7 +101,7 @@
   });
 }
 
-/** Reads one datagram of a telling; undefined where a newer release tells of loads in another way. */
+/** Returns undefined for a scope of a newer release. */
 export function decodeTelling(instance: string, load: TellLoad): PeerTelling | undefined {
   const scope = decodeScope(load.scope);
   if (scope === undefined) return undefined;
--- a/src/peers/encode-usage.ts
+++ b/src/peers/encode-usage.ts
@@ -1,14 +1,14 @@
-/** Counts of calls in the form in which they travel, split where they outgrow a datagram. */
+/** Converts usage updates to and from their wire form, split into several datagrams if needed. */
 import { create } from '@bufbuild/protobuf';
 import type { WindowCounts } from '../duties/usage-ledger.js';
 import type { UsageUpdate } from '../duties/usage-meter.js';
 import { TellUsageSchema } from '../gen/peer_pb.js';
 import type { TellUsage } from '../gen/peer_pb.js';
 
-/** Counts in one datagram: some 12 bytes each, so that it fits an Ethernet frame. */
+/** Fits an Ethernet frame at about 12 bytes per count. */
 const COUNTS_MAX = 90;
 
-/** Parts of shares with at most so many counts together; one without any where there are none. */
+/** Groups the counts by datagram; returns one empty part if there are none. */
 function listParts(windows: readonly WindowCounts[]): WindowCounts[][] {
   const pieces = windows.flatMap(({ window, counts }) =>
     Array.from({ length: Math.max(1, Math.ceil(counts.length / COUNTS_MAX)) }, (_, index) => ({
@@ -29,7 +29,10 @@
   return parts;
 }
 
-/** Builds the datagrams of one telling; how far the counts reach is said by the last, once all are on their way. */
+/**
+ * Returns one message per datagram. Only the last has the watermark, since the earlier ones do not
+ * complete the counts.
+ */
 export function encodeUsage({ source, watermarkMs, windows }: UsageUpdate): TellUsage[] {
   const parts = listParts(windows);
   return parts.map((part, index) =>
@@ -45,7 +48,6 @@
   );
 }
 
-/** Reads one datagram. */
 export function decodeUsage(instance: string, told: TellUsage): UsageUpdate {
   return {
     source: { instance, incarnation: told.incarnation },
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -1,4 +1,4 @@
-/** What an instance needs of its links to peers; the outbox is one way, a test's fake another. */
+/** Interface for messages and calls to peers over connections. */
 import type { AttemptVerdict } from '../claims/claim.js';
 import type {
   FetchConfigurationResponse,
@@ -6,21 +6,23 @@
   PeerMessage,
 } from '../gen/peer_pb.js';
 
-/** What the asking instance has of the source's tables; 0 for nothing. */
+/** Revisions of the source's tables that an instance has; 0 for none. */
 export interface KnownRevisions {
   readonly configurationRevision: number;
   readonly endpointsRevision: number;
 }
 
-/** What an instance tells of its knowledge. */
+/** Knowledge of an instance, as sent to peers. */
 export interface KnowledgeSummary extends KnownRevisions {
-  /** The moment on the source's clock at which its configuration was surely the newest; undefined while unknown. */
+  /**
+   * Latest time on the source clock at which the configuration is known to have been current;
+   * undefined if unknown.
+   */
   readonly confirmedAtMs: number | undefined;
 }
 
-/** Links to peers, by address. */
 export interface PeerLinks {
-  /** Hands a message over some time; it may be lost. */
+  /** Queues a message; it may be lost. */
   send(address: string, body: PeerMessage['body']): void;
   /** Rejects when the peer does not answer. */
   fetchConfiguration(
--- a/src/peers/peer-outbox.test.ts
+++ b/src/peers/peer-outbox.test.ts
@@ -8,7 +8,7 @@
 import { startPeerServer } from './peer-server.js';
 
 const SECRET = 'a-secret-of-all-routers';
-/** A lost call takes a second; the one after it arrives on a new connection. */
+/** Covers the timeout of the lost call and a new connection. */
 const RECOVERY_MS = 4000;
 
 function buildMessage(sequence: number): PeerMessage['body'] {
@@ -25,7 +25,7 @@
       for (const body of bodies) if (body.case === 'ping') received.push(body.value.sequence);
     },
     onFetchConfiguration: () => {
-      throw new Error('not asked in this test');
+      throw new Error('unexpected call of fetchConfiguration');
     },
     onQueryAttempt: () => 'unknown',
     onFetchKnowledge: () => ({
@@ -50,11 +50,10 @@
   });
 }
 
-describe('failures of links', ({ it }) => {
-  // A data centre is cut off; connections to its instances hang. They are given up, the cut ends, an
-  // instance there was killed and refuses: the late refusal finds no listener and ended the whole
-  // process with code 1. Such an error is the link's; any other still ends the process.
-  it('are told from all other errors', (t) => {
+describe('link failures', ({ it }) => {
+  // Guards against a process exit on the late error of an aborted connection, and against hiding
+  // other errors.
+  it('are distinguished from all other errors', (t) => {
     t.true(isLinkFailure(new ConnectError('PING timed out', Code.Unavailable)));
     t.true(isLinkFailure(new ConnectError('the operation timed out', Code.DeadlineExceeded)));
     const refused = Object.assign(new Error('connect ECONNREFUSED'), {
@@ -69,9 +68,9 @@
 });
 
 describe('peer outbox', ({ it }) => {
-  // Something between two instances loses track of their connection: it stays open and carries
-  // nothing. One message is lost; the process lives on, and later messages arrive on a new connection.
-  it('outlives connections that fall silent, again and again', async (t) => {
+  // Guards against messages stuck on a half-open connection, and against its errors ending the
+  // process.
+  it('replaces connections that stop responding', async (t) => {
     const { received, server, relay, outbox, address } = await startPair();
     t.teardown(async () => {
       outbox.close();
@@ -79,7 +78,7 @@
       await server.close();
     });
     for (let round = 0; round < 2; round += 1) {
-      // Each round follows the one before.
+      // Rounds are sequential.
       // eslint-disable-next-line no-await-in-loop
       await waitMs(1200);
       relay.silenceOpen();
@@ -90,6 +89,7 @@
         outbox
           .fetchKnowledge(address, { configurationRevision: 0, endpointsRevision: 0 })
           .catch(() => undefined);
+        // Attempts are spaced in time.
         // eslint-disable-next-line no-await-in-loop
         await waitMs(150);
       }
--- a/src/peers/peer-outbox.ts
+++ b/src/peers/peer-outbox.ts
@@ -1,7 +1,7 @@
 /**
- * Sends messages to peers in batches over connect (HTTP/2), one batch in flight per peer so that a
- * peer sees them in order. Every queue is bounded; the oldest message goes first when one is full,
- * since each kind is repeated or repaired by a later one.
+ * Sends messages to peers in batches over connect (HTTP/2), with one batch in flight per peer to
+ * preserve order. Queues are bounded and drop the oldest message when full, since every kind of
+ * message is repeated or superseded later.
  */
 import { createClient } from '@connectrpc/connect';
 import type { Client, Interceptor } from '@connectrpc/connect';
@@ -15,33 +15,29 @@
 
 const QUEUE_MAX = 4096;
 const BATCH_MAX = 256;
-/** A call without an answer after this long is given up, in milliseconds. */
 const CALL_TIMEOUT_MS = 1000;
-/** Texts of a configuration may take longer, in milliseconds. */
+/** Longer than other calls, since configurations may be large. */
 const FETCH_TIMEOUT_MS = 3000;
-/** A peer that answers later than this, in milliseconds, is given up: others are asked meanwhile, and a fleet that starts on small machines takes several hundred. */
 const KNOWLEDGE_TIMEOUT_MS = 1000;
 /**
- * The library's own pings are off, in milliseconds: its timeout raises an error that ends the process
- * when it comes after the connection was given up. A call without an answer closes the connection
- * instead, which finds silent ones as soon, since members are probed every two seconds or less.
+ * Disables the HTTP/2 pings of the library, whose timeout is an uncaught error if the connection has
+ * been closed meanwhile. Connections are closed when a call times out instead.
  */
 const PING_INTERVAL_MS = 2 ** 31 - 1;
 const IDLE_TIMEOUT_MS = 60_000;
 
-/** Header that carries the secret peers share. */
+/** Holds the peer secret as a bearer token. */
 export const PEER_SECRET_HEADER = 'authorization';
 
-/** Settings of an outbox. */
 export interface PeerOutboxOptions {
   readonly self: string;
   readonly incarnation: number;
   readonly secret: string;
   readonly metrics: Metrics;
-  /** A batch could not be handed over. */
+  /** Called when a batch could not be delivered. */
   readonly onUnreachable: (address: string) => void;
   /**
-   * Added to each batch, in milliseconds: stands for the distance between data centres on a bench.
+   * Delay added before each batch, which simulates latency between data centres in benchmarks.
    * @default 0
    */
   readonly getDelayMs?: (address: string) => number;
@@ -54,12 +50,10 @@
   isSending: boolean;
 }
 
-/** Links to peers over connections of their own. */
 export interface PeerOutbox extends PeerLinks {
   close(): void;
 }
 
-/** Builds an outbox without links. */
 export function createPeerOutbox(options: PeerOutboxOptions): PeerOutbox {
   const links = new Map<string, PeerLink>();
   let isClosed = false;
@@ -108,7 +102,7 @@
   async function sendQueue(link: PeerLink, address: string): Promise<void> {
     while (link.queue.length > 0 && !isClosed) {
       try {
-        // Batches go one after the other: that is what keeps their order.
+        // Sequential batches preserve message order.
         // eslint-disable-next-line no-await-in-loop
         await sendBatch(link, address);
       } catch {
@@ -130,7 +124,7 @@
       }
       if (link.isSending) return;
       link.isSending = true;
-      // Messages of the same turn of the loop travel together.
+      // Batches all messages queued in this turn of the event loop.
       setImmediate(() => {
         sendQueue(link, address).catch(() => undefined);
       });
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** Serves the peer protocol; every call must carry the secret that peers share. */
+/** Serves the peer protocol. Every call must include the peer secret. */
 import { createServer } from 'node:http2';
 import type { ServerHttp2Session } from 'node:http2';
 import type { AddressInfo } from 'node:net';
@@ -19,7 +19,6 @@
 
 const MESSAGE_BYTES_MAX = 16 * 1024 * 1024;
 
-/** What the server hands on. */
 export interface PeerHandlers {
   onMessages(from: string, bodies: readonly PeerMessage['body'][]): void;
   onFetchConfiguration(hashes: readonly string[]): FetchConfigurationResponse;
@@ -27,13 +26,11 @@
   onFetchKnowledge(request: FetchKnowledgeRequest): FetchKnowledgeResponse;
 }
 
-/** A server that listens for peers. */
 export interface PeerServer {
   readonly port: number;
   close(): Promise<void>;
 }
 
-/** Starts serving peers. */
 export async function startPeerServer(
   host: string,
   port: number,
--- a/src/peers/peer-telling.ts
+++ b/src/peers/peer-telling.ts
@@ -1,11 +1,11 @@
-/** What one instance tells others in datagrams: loads, and what it knows of the source's tables. */
+/** Status of an instance as sent to peers in datagrams: load, knowledge and fleet time. */
 import type { ReceivedLoadUpdate } from '../load-sharing/load-update.js';
 import type { PeerTime } from '../duties/true-time.js';
 import type { KnowledgeSummary } from './peer-links.js';
 
-/** A telling as it came from a peer. */
+/** One datagram of a status, as received. */
 export interface PeerTelling extends ReceivedLoadUpdate {
   readonly knowledge: KnowledgeSummary;
-  /** Undefined where the peer does not know. */
+  /** Undefined if unknown to the peer. */
   readonly time: PeerTime | undefined;
 }
--- a/src/runtime/invariants.ts
+++ b/src/runtime/invariants.ts
@@ -1,24 +1,21 @@
-/** Invariants asserted inside the program: always on, counted, and loud. */
+/** Invariant checks, which are always enabled. */
 
-/** One breach, as reported. */
 export interface InvariantBreach {
   readonly name: string;
   readonly detail: string;
 }
 
-/** Checks and counts. */
 export interface Invariants {
-  /** Records a breach of `name` unless `holds`; `detail` is only built for a breach. */
+  /** Records a breach unless `holds`; `detail` is only called for a breach. */
   check(name: string, holds: boolean, detail: () => string): void;
-  /** Breaches so far. */
   count(): number;
+  /** Returns the first breaches. */
   list(): readonly InvariantBreach[];
 }
 
-/** Breaches kept word for word; later ones are only counted. */
+/** Later breaches are only counted. */
 const KEPT_BREACHES = 20;
 
-/** Builds a checker that calls `onBreach` at each breach. */
 export function createInvariants(onBreach: (breach: InvariantBreach) => void): Invariants {
   const kept: InvariantBreach[] = [];
   let breaches = 0;
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,18 +1,16 @@
-/** Structured logs by winston: JSON lines; never prompt text, never keys. */
+/** Structured logs as JSON lines, by winston. Prompts and keys must not be logged. */
 import winston from 'winston';
 
 export type Logger = winston.Logger;
 
-/** Log levels an operator can choose. */
 export const LOG_LEVELS = ['error', 'warn', 'info', 'debug'] as const;
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** Where lines go. */
 export type LogStream = 'stdout' | 'stderr';
 
 /**
- * Builds a logger whose every line carries `fields`.
- * @default stream 'stderr', since a binary's own output may be read by programs
+ * Adds `fields` to every line.
+ * @default stream 'stderr', since programs may read the standard output of a binary
  */
 export function createLogger(
   level: LogLevel | 'silent',
--- a/src/runtime/metrics.ts
+++ b/src/runtime/metrics.ts
@@ -1,7 +1,7 @@
-/** Counters, gauges and timings by hot-shots (DogStatsD), with the totals kept for `status`. */
+/** DogStatsD metrics, by hot-shots. Totals are also kept for the `status` command. */
 import { StatsD } from 'hot-shots';
 
-/** Names of every metric; docs/OPERATIONS.md explains each. */
+/** Metric names, documented in docs/OPERATIONS.md. */
 export const METRIC = {
   RequestsStarted: 'requests.started',
   RequestsCompleted: 'requests.completed',
@@ -27,17 +27,16 @@
 } as const;
 export type Metric = (typeof METRIC)[keyof typeof METRIC];
 
-/** Where metrics go. */
 export interface Metrics {
   count(metric: Metric, value?: number, tags?: Readonly<Record<string, string>>): void;
   set(metric: Metric, value: number): void;
   record(metric: Metric, milliseconds: number, tags?: Readonly<Record<string, string>>): void;
-  /** Totals of counters and last values of gauges since the start. */
+  /** Returns totals of counters and last values of gauges. */
   list(): Readonly<Record<string, number>>;
   close(): void;
 }
 
-/** Builds metrics; without a host the totals are kept but nothing is sent. */
+/** Without a host, totals are kept but nothing is sent. */
 export function createMetrics(host: string | undefined, port: number): Metrics {
   const client =
     host === undefined
--- a/src/runtime/timer-service.test.ts
+++ b/src/runtime/timer-service.test.ts
@@ -9,7 +9,7 @@
 }
 
 describe('timer service', ({ it }) => {
-  it('calls everybody of a period until each ends its own subscription', async (t) => {
+  it('calls all subscribers of a period until each unsubscribes', async (t) => {
     const timers = createTimerService(createSystemClock());
     const calls: string[] = [];
     const stopFirst = timers.subscribe(20, () => calls.push('first'));
@@ -28,9 +28,8 @@
     t.deepEqual(calls, []);
   });
 
-  // A part ends its own subscription while it is called, as one does that has nothing left to do, and
-  // takes it up again at the next call: it must not be called by both.
-  it('lets a subscription end and begin anew while it is called', async (t) => {
+  // Guards against two subscriptions at once after a handler unsubscribes itself and subscribes again.
+  it('allows a handler to unsubscribe itself and subscribe again', async (t) => {
     const timers = createTimerService(createSystemClock());
     let calls = 0;
     const stop = timers.subscribe(20, () => {
@@ -47,7 +46,7 @@
     timers.stop();
   });
 
-  it('starts a period anew after its last subscription has ended', async (t) => {
+  it('restarts a period after its last subscriber has left', async (t) => {
     const timers = createTimerService(createSystemClock());
     timers.subscribe(20, () => undefined)();
     let calls = 0;
--- a/src/runtime/timer-service.ts
+++ b/src/runtime/timer-service.ts
@@ -1,44 +1,39 @@
-/** The one place where time passes: parts subscribe to periods, delays and event-loop pauses. */
+/** Timers of a process: periods, delays and detection of event-loop pauses. */
 import Emittery from 'emittery';
 import type { Clock } from './clock.js';
 
-/** Ends a subscription. */
 export type Unsubscribe = () => void;
 
-/** How often the service looks for pauses of the event loop, in milliseconds. */
 const PAUSE_PROBE_MS = 250;
-/** A probe later than this, in milliseconds, counts as a pause. */
+/** A probe delayed by more than this is reported as a pause. */
 const PAUSE_THRESHOLD_MS = 1000;
 
-/** Events of the timer service. */
 export interface TimerEvents {
-  /** The process did not run for `pausedMs` milliseconds. */
+  /** The event loop did not run for `pausedMs`. */
   pause: { readonly pausedMs: number };
 }
 
-/** Time for the parts of a process. */
 export interface TimerService {
   readonly clock: Clock;
   readonly events: Emittery<TimerEvents>;
-  /** Calls `handler` every `periodMs` milliseconds. */
+  /**
+   * Calls `handler` every `periodMs`. The first call may come sooner, since subscriptions of the same
+   * period share a timer.
+   */
   subscribe(periodMs: number, handler: () => void): Unsubscribe;
-  /** Calls `handler` once, after `delayMs` milliseconds. */
+  /** Calls `handler` once, after `delayMs`. */
   subscribeOnce(delayMs: number, handler: () => void): Unsubscribe;
   /** Ends every subscription. */
   stop(): void;
 }
 
-/** Everybody who is called with one period. */
+/** The subscribers of one period. */
 interface Interval {
   readonly timer: NodeJS.Timeout;
   readonly handlers: Set<() => void>;
 }
 
-/**
- * Builds the service on the machine's timers. One timer serves all subscriptions of a period, so that a
- * process with nothing to do wakes ten times a second and not once for each of its parts; the first call
- * may come sooner than a period after the subscription.
- */
+/** Uses one system timer per period, so that an idle process wakes less often. */
 export function createTimerService(clock: Clock): TimerService {
   const events = new Emittery<TimerEvents>();
   const active = new Set<NodeJS.Timeout>();
--- a/src/utils/assert-never.ts
+++ b/src/utils/assert-never.ts
@@ -1,4 +1,4 @@
-/** Closes an exhaustive switch: a case the compiler has not seen handled does not compile. */
+/** Makes a switch fail to compile if a case is not handled. */
 export function assertNever(value: never): never {
   throw new Error(`Unhandled case ${JSON.stringify(value)}; add it to the switch that threw this`);
 }
--- a/src/utils/bounded-map.ts
+++ b/src/utils/bounded-map.ts
@@ -1,4 +1,4 @@
-/** A map that forgets its least recently used entry when full, and counts what it forgot. */
+/** A map that evicts its least recently used entry when full. */
 export interface BoundedMap<K, V> {
   get(key: K): V | undefined;
   set(key: K, value: V): void;
@@ -7,7 +7,6 @@
   countEvicted(): number;
 }
 
-/** Builds a map of at most `capacity` entries. */
 export function createBoundedMap<K, V>(capacity: number): BoundedMap<K, V> {
   const entries = new Map<K, V>();
   let evicted = 0;
--- a/src/utils/decaying-sums.ts
+++ b/src/utils/decaying-sums.ts
@@ -1,10 +1,9 @@
-/** Sums of samples that count less the older they are: half after each half-life. */
+/** Sums with exponential decay. */
 export interface DecayingSums<K extends string> {
   add(samples: Readonly<Record<K, number>>, nowMs: number): void;
   read(nowMs: number): Readonly<Record<K, number>>;
 }
 
-/** Builds sums of the named quantities, all zero. */
 export function createDecayingSums<K extends string>(
   names: readonly K[],
   halfLifeMs: number,
--- a/src/utils/hash.ts
+++ b/src/utils/hash.ts
@@ -1,22 +1,22 @@
-/** Hashes: SHA-256 for content and keys, FNV-1a for placing names on instances. */
+/** SHA-256 for content and keys, FNV-1a for fast hashing and rendezvous hashing. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** Hex SHA-256 of a text. */
+/** SHA-256 as hex. */
 export function hashText(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** Whether two hex digests are equal, in time that does not depend on where they differ. */
+/** Compares two hex digests in constant time. */
 export function isSameDigest(left: string, right: string): boolean {
   const a = Buffer.from(left, 'hex');
   const b = Buffer.from(right, 'hex');
   return a.length === b.length && timingSafeEqual(a, b);
 }
 
-/** A 32-bit FNV-1a hash with a final mix; quick and stable, never for secrets. */
+/** 32-bit FNV-1a with a final mix. Not cryptographic; instances rely on equal results. */
 export function hashName(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
@@ -28,7 +28,7 @@
   return hash >>> 0;
 }
 
-/** A 32-bit rank of a pair of hashes: as good as hashing both names together, at a fraction of the time. */
+/** Combines two hashes into a 32-bit hash; faster than hashing the concatenated names. */
 export function hashPair(a: number, b: number): number {
   let hash = Math.imul(a ^ (b >>> 15), 0x85ebca6b) ^ Math.imul(b, 0xc2b2ae35);
   hash ^= hash >>> 16;
@@ -40,8 +40,8 @@
 }
 
 /**
- * Picks the `count` members that rank highest for a key (rendezvous hashing), so that a member's
- * coming or going moves only the keys it ranked first for.
+ * Returns the `count` members with the highest rank for a key (rendezvous hashing). Adding or removing
+ * a member only moves the keys for which it is chosen.
  */
 export function chooseRendezvous(key: string, members: readonly string[], count: number): string[] {
   return members
--- a/src/utils/linear-fit.ts
+++ b/src/utils/linear-fit.ts
@@ -1,28 +1,25 @@
-/** A straight line through samples, the newest of which weigh most. */
+/** Least-squares line through samples with exponential decay. */
 
-/** The line `y = offset + slope * x`, and the mean of both. */
+/** The line `y = meanY + slope * (x - meanX)`. */
 export interface Line {
   readonly slope: number;
   readonly meanX: number;
   readonly meanY: number;
 }
 
-/** The fit of one line. */
 export interface LinearFit {
   add(x: number, y: number): void;
-  /** Undefined while there are too few samples or all have the same x. */
+  /** Returns undefined if there are too few samples or all have the same x. */
   get(): Line | undefined;
 }
 
-/** What a fit is built on. */
 export interface LinearFitOptions {
-  /** Each new sample makes those before count this much, 0 to 1. */
+  /** Factor applied to the weight of earlier samples at each new sample, 0 to 1. */
   readonly retained: number;
-  /** Samples before the fit is used. */
+  /** Minimum number of samples for a result. */
   readonly samplesTrusted: number;
 }
 
-/** Builds a fit that has seen nothing. */
 export function createLinearFit({ retained, samplesTrusted }: LinearFitOptions): LinearFit {
   let samples = 0;
   let weight = 0;
--- a/src/utils/recent-quantile.ts
+++ b/src/utils/recent-quantile.ts
@@ -1,14 +1,14 @@
-/** A quantile of the last samples: follows a change within that many, and never forgets by the clock. */
+/** Quantile over a sliding window of the last samples, regardless of their age. */
 export interface RecentQuantile {
   add(sample: number): void;
-  /** The quantile, or `fallback` before the first sample. */
+  /** Returns `fallback` before the first sample. */
   get(fallback: number): number;
 }
 
-/** Samples between two sorts. */
+/** Sorting only every few samples saves time. */
 const SORT_EVERY = 8;
 
-/** Builds an estimator of `quantile` (0 to 1) over the last `capacity` samples. */
+/** `quantile`: 0 to 1. `capacity`: size of the window, in samples. */
 export function createRecentQuantile(quantile: number, capacity: number): RecentQuantile {
   const samples: number[] = [];
   let next = 0;
--- a/src/utils/result.ts
+++ b/src/utils/result.ts
@@ -1,4 +1,4 @@
-/** `ts-results` is CommonJS: from ESM only its default import carries values. */
+/** `ts-results` is a CommonJS module, whose values ESM can only access through the default import. */
 import tsResults from 'ts-results';
 
 export const { Ok, Err } = tsResults;
