--- a/src/observability/call-metrics.ts
+++ b/src/observability/call-metrics.ts
@@ -88,12 +88,12 @@
     labelNames: ['standing'],
     registers,
   });
-  const quarantined = new Counter({
+  const quarantineRefusals = new Counter({
     name: 'hyssoptally_quarantine_refusals_total',
     help: 'Calls refused because endpoints crashed under their content',
     registers,
   });
-  const unknown = new Counter({
+  const unknownValues = new Counter({
     name: 'hyssoptally_unknown_values_total',
     help: 'Words of a newer release that this one does not know, by where they were read',
     labelNames: ['place'],
@@ -105,14 +105,14 @@
     labelNames: ['duty', 'outcome'],
     registers,
   });
-  const first = new Histogram({
+  const firstByteLatency = new Histogram({
     name: 'hyssoptally_call_first_seconds',
     help: 'Time from a request to the first bytes of its answer',
     labelNames: ['kind'],
     buckets: LATENCY_BUCKETS_S,
     registers,
   });
-  const whole = new Histogram({
+  const callDuration = new Histogram({
     name: 'hyssoptally_call_seconds',
     help: 'Time from a request to the end of its answer',
     labelNames: ['kind'],
@@ -181,17 +181,17 @@
     recordCall({ route: { kind }, urgency }, result, firstMs, tookMs) {
       calls.inc({ kind, urgency, result });
       if (result !== CALL_RESULT.Served) return;
-      first.observe({ kind }, firstMs / 1000);
-      whole.observe({ kind }, tookMs / 1000);
+      firstByteLatency.observe({ kind }, firstMs / 1000);
+      callDuration.observe({ kind }, tookMs / 1000);
     },
     recordWait: (urgency, waitedMs) => waits.observe({ urgency }, waitedMs / 1000),
     recordPause: (route, pauseMs) => pauses.observe({ route }, pauseMs / 1000),
     recordAttempt: (end) => attempts.inc({ end }),
     recordCrash: (evidence) => crashes.inc({ evidence }),
     recordStanding: (standing) => standings.inc({ standing }),
-    recordQuarantineRefusal: () => quarantined.inc(),
+    recordQuarantineRefusal: () => quarantineRefusals.inc(),
     recordRefusal: (failure) => refusals.inc({ failure }),
-    recordUnknown: (place) => unknown.inc({ place }),
+    recordUnknown: (place) => unknownValues.inc({ place }),
     recordDuty: (duty, outcome) => dutyCalls.inc({ duty, outcome }),
     format: () => registry.metrics(),
   };
--- a/src/observability/call-observer.ts
+++ b/src/observability/call-observer.ts
@@ -27,7 +27,7 @@
   }
 }
 
-function isGoodAttempt(end: AttemptEnd): boolean {
+function isSuccessfulAttempt(end: AttemptEnd): boolean {
   if (end.kind === 'answered') return end.head.status < SERVER_ERROR_MIN;
   return end.kind === 'stream_ended';
 }
@@ -87,7 +87,7 @@
     },
     onAttemptEnded({ call, attempt, endpoint }, end, tookMs) {
       metrics.recordAttempt(end.kind);
-      if (isGoodAttempt(end)) return;
+      if (isSuccessfulAttempt(end)) return;
       log.write({
         event: 'attempt_failed',
         request: call.callId,
--- a/src/observability/decision-log.ts
+++ b/src/observability/decision-log.ts
@@ -7,7 +7,7 @@
 import { LOG_KIND, resolveLogKind } from './log-events.js';
 import type { LogEvent, LogKind } from './log-events.js';
 
-const WINDOW_MS = 1000;
+const RATE_WINDOW_MS = 1000;
 const LINES_PER_WINDOW: Readonly<Record<LogKind, number>> = {
   [LOG_KIND.State]: 50,
   [LOG_KIND.Failure]: 60,
@@ -24,10 +24,10 @@
 
 export interface DecisionLog {
   /**
-   * `isGood`: whether the call succeeded in time.
-   * @default isGood true
+   * `isSuccess`: whether the call succeeded in time.
+   * @default isSuccess true
    */
-  write(event: LogEvent, isGood?: boolean): void;
+  write(event: LogEvent, isSuccess?: boolean): void;
 }
 
 export function createDecisionLog({
@@ -36,27 +36,27 @@
   countUnread,
 }: DecisionLogOptions): DecisionLog {
   const written: Record<LogKind, number> = { state: 0, failure: 0, served: 0 };
-  const leftOut: Record<LogKind, number> = { state: 0, failure: 0, served: 0 };
+  const dropped: Record<LogKind, number> = { state: 0, failure: 0, served: 0 };
 
   function writeLine({ event, ...fields }: LogEvent): void {
     logger.log({ level: 'info', message: event, ...fields });
   }
 
-  timers.subscribe(WINDOW_MS, () => {
+  timers.subscribe(RATE_WINDOW_MS, () => {
     for (const kind of Object.values(LOG_KIND)) {
       written[kind] = 0;
-      if (leftOut[kind] > 0 && countUnread() <= UNREAD_BYTES_MAX) {
-        writeLine({ event: 'lines_left_out', kind, lines: leftOut[kind] });
-        leftOut[kind] = 0;
+      if (dropped[kind] > 0 && countUnread() <= UNREAD_BYTES_MAX) {
+        writeLine({ event: 'lines_left_out', kind, lines: dropped[kind] });
+        dropped[kind] = 0;
       }
     }
   });
 
   return {
-    write(event, isGood = true) {
-      const kind = resolveLogKind(event, isGood);
+    write(event, isSuccess = true) {
+      const kind = resolveLogKind(event, isSuccess);
       if (written[kind] >= LINES_PER_WINDOW[kind] || countUnread() > UNREAD_BYTES_MAX) {
-        leftOut[kind] += 1;
+        dropped[kind] += 1;
         return;
       }
       written[kind] += 1;
--- a/src/observability/explain.ts
+++ b/src/observability/explain.ts
@@ -8,7 +8,7 @@
 }
 
 /** Events that change the state on which an instance bases its decisions. */
-const BELIEFS = new Set([
+const STATE_EVENTS = new Set([
   'configuration_reported',
   'endpoint_changed',
   'endpoint_crashed',
@@ -42,7 +42,7 @@
   }
 }
 
-const HIDDEN = new Set(['level', 'dataCentre']);
+const HIDDEN_FIELDS = new Set(['level', 'dataCentre']);
 
 function isText(value: unknown): value is string {
   return typeof value === 'string';
@@ -53,25 +53,30 @@
   requestId: string,
 ): string {
   const rest = Object.entries(fields)
-    .filter(([name, value]) => !HIDDEN.has(name) && !(name === 'request' && value === requestId))
+    .filter(
+      ([name, value]) => !HIDDEN_FIELDS.has(name) && !(name === 'request' && value === requestId),
+    )
     .map(([name, value]) => `${name}=${JSON.stringify(value)}`);
   return `${timestamp} ${instance} ${message} ${rest.join(' ')}`.trimEnd();
 }
 
 /** Whether a line is a state change that may have affected a request sent to `endpoints`. */
 function isRelevant(line: LoggedLine, endpoints: ReadonlySet<unknown>): boolean {
-  if (!BELIEFS.has(line.message)) return false;
+  if (!STATE_EVENTS.has(line.message)) return false;
   return line.message !== 'endpoint_changed' || endpoints.has(line.fields.endpoint);
 }
 
 /** Lines of earlier calls with the same content, and of quarantine decisions on it. */
-function listSameContent(own: readonly LoggedLine[], lines: readonly LoggedLine[]): LoggedLine[] {
-  const contents = new Set(own.map(({ fields }) => fields.content).filter(isText));
-  const times = own.map(({ timestamp }) => Date.parse(timestamp));
+function listSameContent(
+  requestLines: readonly LoggedLine[],
+  lines: readonly LoggedLine[],
+): LoggedLine[] {
+  const contents = new Set(requestLines.map(({ fields }) => fields.content).filter(isText));
+  const times = requestLines.map(({ timestamp }) => Date.parse(timestamp));
   const toMs = Math.max(...times);
   return lines.filter(
     (line) =>
-      !own.includes(line) &&
+      !requestLines.includes(line) &&
       isText(line.fields.content) &&
       contents.has(line.fields.content) &&
       Date.parse(line.timestamp) <= toMs,
@@ -81,20 +86,20 @@
 /** Returns lines in order of time; none if the request was not logged. */
 export function listStory(requestId: string, texts: readonly string[]): string[] {
   const lines = texts.map(parseLine).filter((line) => line !== undefined);
-  const own = lines.filter(({ fields }) => fields.request === requestId);
-  if (own.length === 0) return [];
-  const endpoints = new Set(own.map(({ fields }) => fields.endpoint));
-  const instances = new Set(own.map(({ instance }) => instance));
-  const times = own.map(({ timestamp }) => Date.parse(timestamp));
+  const requestLines = lines.filter(({ fields }) => fields.request === requestId);
+  if (requestLines.length === 0) return [];
+  const endpoints = new Set(requestLines.map(({ fields }) => fields.endpoint));
+  const instances = new Set(requestLines.map(({ instance }) => instance));
+  const times = requestLines.map(({ timestamp }) => Date.parse(timestamp));
   const fromMs = Math.min(...times) - LOOK_BACK_MS;
   const toMs = Math.max(...times);
-  const beliefs = lines.filter((line) => {
+  const stateLines = lines.filter((line) => {
     const timeMs = Date.parse(line.timestamp);
     const isNear = timeMs >= fromMs && timeMs <= toMs;
     return isNear && instances.has(line.instance) && isRelevant(line, endpoints);
   });
-  const related = listSameContent(own, lines);
-  return [...new Set([...own, ...beliefs, ...related])]
+  const related = listSameContent(requestLines, lines);
+  return [...new Set([...requestLines, ...stateLines, ...related])]
     .sort((a, b) => Date.parse(a.timestamp) - Date.parse(b.timestamp))
     .map((line) => formatLine(line, requestId));
 }
--- a/src/observability/log-events.ts
+++ b/src/observability/log-events.ts
@@ -186,8 +186,8 @@
 } as const;
 export type LogKind = (typeof LOG_KIND)[keyof typeof LOG_KIND];
 
-/** `isGood`: whether the call succeeded in time. */
-export function resolveLogKind(event: LogEvent, isGood: boolean): LogKind {
+/** `isSuccess`: whether the call succeeded in time. */
+export function resolveLogKind(event: LogEvent, isSuccess: boolean): LogKind {
   switch (event.event) {
     case 'request_refused':
     case 'content_refused':
@@ -196,7 +196,7 @@
     case 'attempt_started':
       return event.attempt > 1 ? LOG_KIND.Failure : LOG_KIND.Served;
     case 'call_ended':
-      return isGood ? LOG_KIND.Served : LOG_KIND.Failure;
+      return isSuccess ? LOG_KIND.Served : LOG_KIND.Failure;
     default:
       return LOG_KIND.State;
   }
--- a/src/observability/quarantine-observer.ts
+++ b/src/observability/quarantine-observer.ts
@@ -22,8 +22,8 @@
   }
 
   function computeAgeMs({ crashes }: CrashCase): number {
-    const crashedMs = [...crashes.values()].map((crash) => crash.crashedMs);
-    return crashedMs.length === 0 ? 0 : Math.round(getNow() - Math.max(...crashedMs));
+    const crashTimesMs = [...crashes.values()].map((crash) => crash.crashedMs);
+    return crashTimesMs.length === 0 ? 0 : Math.round(getNow() - Math.max(...crashTimesMs));
   }
 
   return {
--- a/src/observability/unknown-values.ts
+++ b/src/observability/unknown-values.ts
@@ -2,7 +2,7 @@
 import { createBoundedMap } from '../utils/bounded-map.js';
 import type { DecisionLog } from './decision-log.js';
 
-const SAID_MAX = 256;
+const REPORTED_VALUES_MAX = 256;
 
 export const UNKNOWN_PLACE = {
   Settings: 'settings',
@@ -28,13 +28,13 @@
   log: DecisionLog,
   countUnknown: (place: UnknownPlace) => void,
 ): UnknownValues {
-  const said = createBoundedMap<string, true>(SAID_MAX);
+  const reported = createBoundedMap<string, true>(REPORTED_VALUES_MAX);
   return {
     record(unknown) {
       countUnknown(unknown.place);
       const id = `${unknown.place}|${unknown.field}|${unknown.value}`;
-      if (said.get(id) === true) return;
-      said.set(id, true);
+      if (reported.get(id) === true) return;
+      reported.set(id, true);
       log.write({ event: 'unknown_value', ...unknown });
     },
   };
--- a/src/peers/datagrams.test.ts
+++ b/src/peers/datagrams.test.ts
@@ -29,7 +29,7 @@
     const { port } = probe.address();
     probe.close();
     await once(probe, 'close');
-    const told: PeerTelling[] = [];
+    const received: PeerTelling[] = [];
     const unknown: string[] = [];
     const errors: string[] = [];
     const ended = new Promise<void>((resolve) => {
@@ -39,8 +39,8 @@
         secret: SECRET,
         host: HOST,
         port,
-        onTold(telling) {
-          told.push(telling);
+        onTold(status) {
+          received.push(status);
           resolve();
         },
         onGossip: () => undefined,
@@ -61,6 +61,6 @@
     await ended;
     t.deepEqual(unknown, ['datagram of front-2', 'scope 9']);
     t.deepEqual(errors, []);
-    t.like(told[0], { instance: 'front-2', scope: 'own' });
+    t.like(received[0], { instance: 'front-2', scope: 'own' });
   });
 });
--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -19,13 +19,13 @@
 
 export interface Datagrams {
   sendLoads(
-    telling: AddressedLoadUpdate,
+    update: AddressedLoadUpdate,
     knowledge: KnowledgeSummary,
     time: PeerTime | undefined,
   ): void;
   sendGossip(address: string, body: PeerMessage['body']): void;
   sendCases(addresses: readonly string[], cases: readonly CaseReport[]): void;
-  sendUsage(addresses: readonly string[], telling: UsageUpdate): void;
+  sendUsage(addresses: readonly string[], update: UsageUpdate): void;
   close(): void;
 }
 
@@ -36,10 +36,10 @@
   readonly secret: string;
   readonly host: string;
   readonly port: number;
-  readonly onTold: (told: PeerTelling) => void;
+  readonly onTold: (status: PeerTelling) => void;
   readonly onGossip: (from: string, body: PeerMessage['body']) => void;
   readonly onCases: (from: string, cases: readonly CaseReport[]) => void;
-  readonly onUsage: (telling: UsageUpdate) => void;
+  readonly onUsage: (update: UsageUpdate) => void;
   /** Called for a message kind or value of a newer release, which is ignored. */
   readonly onUnknown: (field: string, value: string) => void;
   /** Called if a datagram cannot be sent, authenticated or decoded. */
@@ -53,9 +53,9 @@
   const socket = createSocket('udp4');
 
   function handleLoad(from: string, load: TellLoad): void {
-    const told = decodeTelling(from, load);
-    if (told === undefined) options.onUnknown('scope', String(load.scope));
-    else options.onTold(told);
+    const status = decodeTelling(from, load);
+    if (status === undefined) options.onUnknown('scope', String(load.scope));
+    else options.onTold(status);
   }
 
   function handleDatagram({ from, secret: given, body }: Datagram): void {
@@ -98,14 +98,14 @@
   socket.bind(options.port, options.host);
 
   return {
-    sendLoads(telling, knowledge, time) {
-      for (const value of encodeTelling(telling, dataCentre, knowledge, time)) {
+    sendLoads(update, knowledge, time) {
+      for (const value of encodeTelling(update, dataCentre, knowledge, time)) {
         const body = { case: 'load', value } as const;
         const bytes = toBinary(
           DatagramSchema,
           create(DatagramSchema, { from: self, secret, body }),
         );
-        for (const address of telling.addresses) sendBytes(address, bytes);
+        for (const address of update.addresses) sendBytes(address, bytes);
       }
     },
     sendGossip(address, body) {
@@ -121,8 +121,8 @@
       const bytes = toBinary(DatagramSchema, create(DatagramSchema, { from: self, secret, body }));
       for (const address of addresses) sendBytes(address, bytes);
     },
-    sendUsage(addresses, telling) {
-      for (const value of encodeUsage(telling)) {
+    sendUsage(addresses, update) {
+      for (const value of encodeUsage(update)) {
         const body = { case: 'usage', value } as const;
         const bytes = toBinary(
           DatagramSchema,
--- a/src/peers/encode-cases.ts
+++ b/src/peers/encode-cases.ts
@@ -5,10 +5,10 @@
 import type { CaseReport } from '../quarantine/case-ledger.js';
 
 /** Largest value of a `uint32` field; about 49 days. */
-const AGO_MAX_MS = 2 ** 32 - 1;
+const UINT32_MAX = 2 ** 32 - 1;
 
 function encodeMs(ms: number): number {
-  return Math.min(AGO_MAX_MS, Math.max(0, Math.round(ms)));
+  return Math.min(UINT32_MAX, Math.max(0, Math.round(ms)));
 }
 
 function encodeCase({ content, organisation, crashes, cleared, trial }: CaseReport): CrashCase {
@@ -25,19 +25,21 @@
   });
 }
 
-function decodeCase(told: CrashCase): CaseReport {
-  const { content, organisation, cleared, trialStart } = told;
+function decodeCase(wireCase: CrashCase): CaseReport {
+  const { content, organisation, cleared, trialStart } = wireCase;
   return {
     content,
     organisation,
-    crashes: told.starts.map((start, index) => ({
+    crashes: wireCase.starts.map((start, index) => ({
       start,
-      sentAgoMs: told.sentAgoMs[index] ?? 0,
-      crashedAgoMs: told.crashedAgoMs[index] ?? 0,
+      sentAgoMs: wireCase.sentAgoMs[index] ?? 0,
+      crashedAgoMs: wireCase.crashedAgoMs[index] ?? 0,
     })),
     cleared,
     trial:
-      trialStart === undefined ? undefined : { start: trialStart, remainingMs: told.trialLeftMs },
+      trialStart === undefined
+        ? undefined
+        : { start: trialStart, remainingMs: wireCase.trialLeftMs },
   };
 }
 
@@ -45,6 +47,6 @@
   return create(TellCasesSchema, { cases: cases.map(encodeCase) });
 }
 
-export function decodeCases(told: TellCases): CaseReport[] {
-  return told.cases.map(decodeCase);
+export function decodeCases(message: TellCases): CaseReport[] {
+  return message.cases.map(decodeCase);
 }
--- a/src/peers/encode-telling.test.ts
+++ b/src/peers/encode-telling.test.ts
@@ -29,12 +29,12 @@
   readMs: fc.nat(5000).map((units) => units * 4),
 });
 
-function sendThrough(telling: LoadUpdate) {
-  return encodeTelling(telling, 'dc', KNOWLEDGE, TIME).map((load) => {
+function encodeAndDecode(update: LoadUpdate) {
+  return encodeTelling(update, 'dc', KNOWLEDGE, TIME).map((load) => {
     const bytes = toBinary(TellLoadSchema, load);
-    const told = decodeTelling('i', fromBinary(TellLoadSchema, bytes));
-    if (told === undefined) throw new TypeError('load update with an unknown scope');
-    return { bytes, told };
+    const status = decodeTelling('i', fromBinary(TellLoadSchema, bytes));
+    if (status === undefined) throw new TypeError('load update with an unknown scope');
+    return { bytes, status };
   });
 }
 
@@ -43,17 +43,17 @@
     const shares = fc.uniqueArray(SHARE, { maxLength: 400, selector: ({ endpoint }) => endpoint });
     fc.assert(
       fc.property(shares, (sent) => {
-        const parts = sendThrough({
+        const parts = encodeAndDecode({
           scope: LOAD_SCOPE.Others,
           shares: sent,
           heardDataCentres: ['a', 'b'],
         });
-        const received = parts.flatMap(({ told }) => told.shares);
+        const received = parts.flatMap(({ status }) => status.shares);
         const compare = (a: EndpointLoadShare, b: EndpointLoadShare): number =>
           a.endpoint - b.endpoint;
         t.deepEqual([...received].sort(compare), [...sent].sort(compare));
         t.deepEqual(
-          parts.map(({ told }) => told.part),
+          parts.map(({ status }) => status.part),
           parts.map((_, index) => index),
         );
       }),
@@ -61,9 +61,9 @@
   });
 
   it('include the knowledge summary of the sender', (t) => {
-    const [part] = sendThrough({ scope: LOAD_SCOPE.Own, shares: [], heardDataCentres: [] });
-    t.deepEqual(part?.told.knowledge, KNOWLEDGE);
-    t.is(part?.told.scope, LOAD_SCOPE.Own);
+    const [part] = encodeAndDecode({ scope: LOAD_SCOPE.Own, shares: [], heardDataCentres: [] });
+    t.deepEqual(part?.status.knowledge, KNOWLEDGE);
+    t.is(part?.status.scope, LOAD_SCOPE.Own);
   });
 
   // Guards against IP fragmentation: a fragmented datagram is lost if any of its fragments is.
@@ -78,7 +78,7 @@
       readTokens: 100_000,
       readMs: 900,
     }));
-    const parts = sendThrough({
+    const parts = encodeAndDecode({
       scope: LOAD_SCOPE.Others,
       shares,
       heardDataCentres: ['a', 'b', 'c'],
--- a/src/peers/encode-telling.ts
+++ b/src/peers/encode-telling.ts
@@ -13,16 +13,16 @@
 import type { PeerTelling } from './peer-telling.js';
 
 /** Fits an Ethernet frame at up to 15 bytes per share. */
-const SHARES_MAX = 90;
+const SHARES_PER_DATAGRAM_MAX = 90;
 /** Endpoint keys are 32-bit hashes. */
-const HASHES = 2 ** 32;
+const HASH_RANGE = 2 ** 32;
 /** Wire units, coarse enough that most values take one or two bytes. */
 const UNREAD_UNIT_TOKENS = 64;
 const COUNTS_PER_CALL = 8;
 const READ_UNIT_TOKENS = 256;
 const READ_UNIT_MS = 4;
 
-const SCOPES: Readonly<Record<Scope, LoadScope>> = {
+const WIRE_SCOPES: Readonly<Record<Scope, LoadScope>> = {
   [LOAD_SCOPE.Own]: LoadScope.OWN,
   [LOAD_SCOPE.Group]: LoadScope.GROUP,
   [LOAD_SCOPE.Others]: LoadScope.OTHERS,
@@ -41,28 +41,28 @@
   }
 }
 
-/** Fleet time and hop count share one number, to save space: `time * HOPS_UNIT + hops`. */
-const HOPS_UNIT = 4;
+/** Fleet time and hop count share one number, to save space: `time * HOPS_BASE + hops`. */
+const HOPS_BASE = 4;
 
 function encodeTime({ fleetMs, hops }: PeerTime): number {
-  return Math.floor(fleetMs) * HOPS_UNIT + hops;
+  return Math.floor(fleetMs) * HOPS_BASE + hops;
 }
 
 function decodeTime(value: number): PeerTime {
-  return { fleetMs: Math.floor(value / HOPS_UNIT), hops: value % HOPS_UNIT };
+  return { fleetMs: Math.floor(value / HOPS_BASE), hops: value % HOPS_BASE };
 }
 
 /**
  * Assigns endpoints to parts by hash range, so that an endpoint has the same part in every update of
  * as many parts. An endpoint missing from its part has no load.
  */
-function listPart(
+function listPartShares(
   shares: readonly EndpointLoadShare[],
   part: number,
   parts: number,
 ): readonly EndpointLoadShare[] {
   if (parts === 1) return shares;
-  return shares.filter(({ endpoint }) => Math.floor((endpoint / HASHES) * parts) === part);
+  return shares.filter(({ endpoint }) => Math.floor((endpoint / HASH_RANGE) * parts) === part);
 }
 
 /** Returns one message per datagram. */
@@ -72,11 +72,11 @@
   { configurationRevision, endpointsRevision, confirmedAtMs }: KnowledgeSummary,
   time: PeerTime | undefined,
 ): TellLoad[] {
-  const parts = Math.max(1, Math.ceil(shares.length / SHARES_MAX));
+  const parts = Math.max(1, Math.ceil(shares.length / SHARES_PER_DATAGRAM_MAX));
   return Array.from({ length: parts }, (_, part) => {
-    const named = listPart(shares, part, parts);
+    const partShares = listPartShares(shares, part, parts);
     return create(TellLoadSchema, {
-      scope: SCOPES[scope],
+      scope: WIRE_SCOPES[scope],
       dataCentre,
       part,
       parts,
@@ -85,18 +85,20 @@
       endpointsRevision,
       ...(confirmedAtMs === undefined ? {} : { confirmedAtMs }),
       ...(time === undefined ? {} : { trueNow: encodeTime(time) }),
-      endpoints: named.map(({ endpoint }) => endpoint),
-      running: named.map(({ running }) => Math.max(0, Math.round(running))),
-      urgent: named.map(({ urgent }) => Math.max(0, Math.round(urgent))),
-      unreadTokens: named.map(({ unreadTokens }) =>
+      endpoints: partShares.map(({ endpoint }) => endpoint),
+      running: partShares.map(({ running }) => Math.max(0, Math.round(running))),
+      urgent: partShares.map(({ urgent }) => Math.max(0, Math.round(urgent))),
+      unreadTokens: partShares.map(({ unreadTokens }) =>
         Math.max(0, Math.ceil(unreadTokens / UNREAD_UNIT_TOKENS)),
       ),
-      answers: named.map(({ answers }) => Math.max(0, Math.round(answers * COUNTS_PER_CALL))),
-      failures: named.map(({ failures }) => Math.max(0, Math.round(failures * COUNTS_PER_CALL))),
-      readTokens: named.map(({ readTokens }) =>
+      answers: partShares.map(({ answers }) => Math.max(0, Math.round(answers * COUNTS_PER_CALL))),
+      failures: partShares.map(({ failures }) =>
+        Math.max(0, Math.round(failures * COUNTS_PER_CALL)),
+      ),
+      readTokens: partShares.map(({ readTokens }) =>
         Math.max(0, Math.round(readTokens / READ_UNIT_TOKENS)),
       ),
-      readMs: named.map(({ readMs }) => Math.max(0, Math.round(readMs / READ_UNIT_MS))),
+      readMs: partShares.map(({ readMs }) => Math.max(0, Math.round(readMs / READ_UNIT_MS))),
     });
   });
 }
--- a/src/peers/encode-usage.ts
+++ b/src/peers/encode-usage.ts
@@ -6,25 +6,31 @@
 import type { TellUsage } from '../gen/peer_pb.js';
 
 /** Fits an Ethernet frame at about 12 bytes per count. */
-const COUNTS_MAX = 90;
+const COUNTS_PER_DATAGRAM_MAX = 90;
 
 /** Groups the counts by datagram; returns one empty part if there are none. */
 function listParts(windows: readonly WindowCounts[]): WindowCounts[][] {
-  const pieces = windows.flatMap(({ window, counts }) =>
-    Array.from({ length: Math.max(1, Math.ceil(counts.length / COUNTS_MAX)) }, (_, index) => ({
-      window,
-      counts: counts.slice(index * COUNTS_MAX, (index + 1) * COUNTS_MAX),
-    })),
+  const chunks = windows.flatMap(({ window, counts }) =>
+    Array.from(
+      { length: Math.max(1, Math.ceil(counts.length / COUNTS_PER_DATAGRAM_MAX)) },
+      (_, index) => ({
+        window,
+        counts: counts.slice(
+          index * COUNTS_PER_DATAGRAM_MAX,
+          (index + 1) * COUNTS_PER_DATAGRAM_MAX,
+        ),
+      }),
+    ),
   );
   const parts: WindowCounts[][] = [[]];
-  let held = 0;
-  for (const piece of pieces) {
-    if (held + piece.counts.length > COUNTS_MAX) {
+  let partSize = 0;
+  for (const chunk of chunks) {
+    if (partSize + chunk.counts.length > COUNTS_PER_DATAGRAM_MAX) {
       parts.push([]);
-      held = 0;
+      partSize = 0;
     }
-    held += piece.counts.length;
-    parts.at(-1)?.push(piece);
+    partSize += chunk.counts.length;
+    parts.at(-1)?.push(chunk);
   }
   return parts;
 }
@@ -48,11 +54,11 @@
   );
 }
 
-export function decodeUsage(instance: string, told: TellUsage): UsageUpdate {
+export function decodeUsage(instance: string, message: TellUsage): UsageUpdate {
   return {
-    source: { instance, incarnation: told.incarnation },
-    watermarkMs: told.reachedMs,
-    windows: told.windows.map(({ window, organisations, counts }) => ({
+    source: { instance, incarnation: message.incarnation },
+    watermarkMs: message.reachedMs,
+    windows: message.windows.map(({ window, organisations, counts }) => ({
       window,
       counts: organisations.map((organisation, index) => ({
         organisation,
--- a/src/peers/peer-outbox.ts
+++ b/src/peers/peer-outbox.ts
@@ -17,8 +17,8 @@
 const BATCH_MAX = 256;
 const CALL_TIMEOUT_MS = 1000;
 /** Longer than other calls, since configurations may be large. */
-const FETCH_TIMEOUT_MS = 3000;
-const KNOWLEDGE_TIMEOUT_MS = 1000;
+const FETCH_CONFIGURATION_TIMEOUT_MS = 3000;
+const FETCH_KNOWLEDGE_TIMEOUT_MS = 1000;
 /**
  * Disables the HTTP/2 pings of the library, whose timeout is an uncaught error if the connection has
  * been closed meanwhile. Connections are closed when a call times out instead.
@@ -58,7 +58,7 @@
   const links = new Map<string, PeerLink>();
   let isClosed = false;
 
-  const sendSecret: Interceptor = (next) => (request) => {
+  const addSecret: Interceptor = (next) => (request) => {
     request.header.set(PEER_SECRET_HEADER, `Bearer ${options.secret}`);
     return next(request);
   };
@@ -73,7 +73,7 @@
     const transport = createConnectTransport({
       baseUrl: `http://${address}`,
       httpVersion: '2',
-      interceptors: [sendSecret],
+      interceptors: [addSecret],
       defaultTimeoutMs: CALL_TIMEOUT_MS,
       sessionManager: sessions,
     });
@@ -132,12 +132,12 @@
     fetchConfiguration: (address, hashes) =>
       getLink(address).client.fetchConfiguration(
         { hashes: [...hashes] },
-        { timeoutMs: FETCH_TIMEOUT_MS },
+        { timeoutMs: FETCH_CONFIGURATION_TIMEOUT_MS },
       ),
     async fetchKnowledge(address, known) {
       const link = getLink(address);
       try {
-        return await link.client.fetchKnowledge(known, { timeoutMs: KNOWLEDGE_TIMEOUT_MS });
+        return await link.client.fetchKnowledge(known, { timeoutMs: FETCH_KNOWLEDGE_TIMEOUT_MS });
       } catch (error) {
         link.sessions.abort();
         throw error;
--- a/src/runtime/invariants.ts
+++ b/src/runtime/invariants.ts
@@ -14,20 +14,20 @@
 }
 
 /** Later breaches are only counted. */
-const KEPT_BREACHES = 20;
+const RECORDED_BREACHES_MAX = 20;
 
 export function createInvariants(onBreach: (breach: InvariantBreach) => void): Invariants {
-  const kept: InvariantBreach[] = [];
+  const recorded: InvariantBreach[] = [];
   let breaches = 0;
   return {
     check(name, holds, detail) {
       if (holds) return;
       breaches += 1;
       const breach = { name, detail: detail() };
-      if (kept.length < KEPT_BREACHES) kept.push(breach);
+      if (recorded.length < RECORDED_BREACHES_MAX) recorded.push(breach);
       onBreach(breach);
     },
     count: () => breaches,
-    list: () => kept,
+    list: () => recorded,
   };
 }
--- a/src/utils/linear-fit.ts
+++ b/src/utils/linear-fit.ts
@@ -31,13 +31,13 @@
     add(x, y) {
       samples += 1;
       weight = weight * retained + 1;
-      const share = 1 / weight;
+      const newestWeight = 1 / weight;
       const offsetX = x - meanX;
       const offsetY = y - meanY;
-      meanX += offsetX * share;
-      meanY += offsetY * share;
-      variance += (offsetX * (x - meanX) - variance) * share;
-      covariance += (offsetX * (y - meanY) - covariance) * share;
+      meanX += offsetX * newestWeight;
+      meanY += offsetY * newestWeight;
+      variance += (offsetX * (x - meanX) - variance) * newestWeight;
+      covariance += (offsetX * (y - meanY) - covariance) * newestWeight;
     },
     get() {
       if (samples < samplesTrusted || variance <= 0) return undefined;
--- a/src/utils/recent-quantile.ts
+++ b/src/utils/recent-quantile.ts
@@ -5,8 +5,8 @@
   get(fallback: number): number;
 }
 
-/** Sorting only every few samples saves time. */
-const SORT_EVERY = 8;
+/** Samples between two sorts, which are expensive. */
+const SORT_INTERVAL = 8;
 
 /** `quantile`: 0 to 1. `capacity`: size of the window, in samples. */
 export function createRecentQuantile(quantile: number, capacity: number): RecentQuantile {
@@ -19,7 +19,7 @@
       samples[next] = sample;
       next = (next + 1) % capacity;
       added += 1;
-      if (value !== undefined && added % SORT_EVERY !== 0 && added > SORT_EVERY) return;
+      if (value !== undefined && added % SORT_INTERVAL !== 0 && added > SORT_INTERVAL) return;
       const sorted = [...samples].sort((a, b) => a - b);
       value = sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * quantile))];
     },
