--- a/src/lifecycle/drain.ts
+++ b/src/lifecycle/drain.ts
@@ -14,7 +14,6 @@
 } as const;
 export type Stage = (typeof STAGE)[keyof typeof STAGE];
 
-/** Requests are accepted for this time after the instance becomes unready. */
 const BALANCER_NOTICE_MS = 2000;
 
 export type DrainMessage =
@@ -31,7 +30,10 @@
   isAccepting(): boolean;
 }
 
-/** @default noticeMs 2000 */
+/**
+ * `noticeMs`: time for which requests are accepted after the instance becomes unready.
+ * @default noticeMs 2000
+ */
 export function createDrain(timeoutMs: number, noticeMs = BALANCER_NOTICE_MS): Drain {
   let stage: Stage = STAGE.Starting;
   let leavingSinceMs = 0;
--- a/src/observability/call-observer.ts
+++ b/src/observability/call-observer.ts
@@ -110,7 +110,7 @@
         {
           event: 'call_ended',
           request: call.callId,
-          // Served calls need no content hash, which is computed on demand.
+          // The content hash is computed on access, and served calls do not need it.
           content: result === CALL_RESULT.Served ? undefined : call.contentId,
           route: call.route.name,
           urgency: call.urgency,
--- a/src/observability/unknown-values.ts
+++ b/src/observability/unknown-values.ts
@@ -16,7 +16,7 @@
   readonly place: UnknownPlace;
   readonly field: string;
   readonly value: string;
-  /** What the value is treated as. */
+  /** What is done with the value. */
   readonly handledAs: string;
 }
 
--- a/src/peers/peer-outbox.ts
+++ b/src/peers/peer-outbox.ts
@@ -21,7 +21,7 @@
 const FETCH_KNOWLEDGE_TIMEOUT_MS = 1000;
 /**
  * Disables the HTTP/2 pings of the library, whose timeout is an uncaught error if the connection has
- * been closed meanwhile. Connections are closed when a call times out instead.
+ * been closed meanwhile. A batch or knowledge query that fails closes the connection instead.
  */
 const PING_INTERVAL_MS = 2 ** 31 - 1;
 const IDLE_TIMEOUT_MS = 60_000;
