--- a/src/peers/encode-cases.ts
+++ b/src/peers/encode-cases.ts
@@ -1,14 +1,14 @@
-/** Evidence on contents in the form in which it travels between instances. */
+/** Converts crash case reports to and from their wire form. */
 import { create } from '@bufbuild/protobuf';
 import { CrashCaseSchema, TellCasesSchema } from '../gen/peer_pb.js';
 import type { CrashCase, TellCases } from '../gen/peer_pb.js';
 import type { CaseReport } from '../quarantine/case-ledger.js';
 
-/** The longest time that fits its field, in milliseconds: 49 days. */
-const AGO_MAX_MS = 2 ** 32 - 1;
+/** Largest value of a `uint32` field; about 49 days. */
+const UINT32_MAX = 2 ** 32 - 1;
 
 function encodeMs(ms: number): number {
-  return Math.min(AGO_MAX_MS, Math.max(0, Math.round(ms)));
+  return Math.min(UINT32_MAX, Math.max(0, Math.round(ms)));
 }
 
 function encodeCase({ content, organisation, crashes, cleared, trial }: CaseReport): CrashCase {
@@ -25,28 +25,28 @@
   });
 }
 
-function decodeCase(told: CrashCase): CaseReport {
-  const { content, organisation, cleared, trialStart } = told;
+function decodeCase(wireCase: CrashCase): CaseReport {
+  const { content, organisation, cleared, trialStart } = wireCase;
   return {
     content,
     organisation,
-    crashes: told.starts.map((start, index) => ({
+    crashes: wireCase.starts.map((start, index) => ({
       start,
-      sentAgoMs: told.sentAgoMs[index] ?? 0,
-      crashedAgoMs: told.crashedAgoMs[index] ?? 0,
+      sentAgoMs: wireCase.sentAgoMs[index] ?? 0,
+      crashedAgoMs: wireCase.crashedAgoMs[index] ?? 0,
     })),
     cleared,
     trial:
-      trialStart === undefined ? undefined : { start: trialStart, remainingMs: told.trialLeftMs },
+      trialStart === undefined
+        ? undefined
+        : { start: trialStart, remainingMs: wireCase.trialLeftMs },
   };
 }
 
-/** Builds a telling. */
 export function encodeCases(cases: readonly CaseReport[]): TellCases {
   return create(TellCasesSchema, { cases: cases.map(encodeCase) });
 }
 
-/** Reads a telling. */
-export function decodeCases(told: TellCases): CaseReport[] {
-  return told.cases.map(decodeCase);
+export function decodeCases(message: TellCases): CaseReport[] {
+  return message.cases.map(decodeCase);
 }
