--- a/src/node/answer-writers.ts
+++ b/src/node/answer-writers.ts
@@ -5,7 +5,7 @@
 import { STATUS_OF_FAILURE } from '../types/outcomes.js';
 
 /** Bytes a slow caller may leave unread before it counts as gone. */
-export const UNREAD_MAX = 1024 * 1024;
+export const UNREAD_BYTES_MAX = 1024 * 1024;
 
 /** The JSON object of a failure. */
 export function buildErrorBody(failure: RequestFailure, requestId: string): object {
@@ -30,14 +30,19 @@
   readonly model: string;
   readonly createdSeconds: number;
   /** The caller does not read: nothing more is kept for it. */
-  readonly onSlow: () => void;
+  readonly onSlowReader: () => void;
 }
 
 /** Streams a completion as server-sent events; `[DONE]` only after a whole answer. */
 export function createStreamWriter(options: CompletionWriterOptions): AnswerSink {
   const { response, requestId, model, createdSeconds } = options;
-  const head = { id: requestId, object: 'chat.completion.chunk', created: createdSeconds, model };
-  const prefix = `data: ${JSON.stringify(head).slice(0, -1)},"choices":[{"index":0,"delta":`;
+  const chunkFields = {
+    id: requestId,
+    object: 'chat.completion.chunk',
+    created: createdSeconds,
+    model,
+  };
+  const prefix = `data: ${JSON.stringify(chunkFields).slice(0, -1)},"choices":[{"index":0,"delta":`;
   let isStarted = false;
 
   function startStream(): void {
@@ -56,7 +61,7 @@
     onDelta(text) {
       startStream();
       response.write(`${prefix}{"content":${JSON.stringify(text)}},"finish_reason":null}]}\n\n`);
-      if (response.writableLength > UNREAD_MAX) options.onSlow();
+      if (response.writableLength > UNREAD_BYTES_MAX) options.onSlowReader();
     },
     onComplete(end) {
       startStream();
@@ -75,9 +80,9 @@
 }
 
 /** Collects a completion and answers with one JSON body. */
-export function createBodyWriter(options: CompletionWriterOptions): AnswerSink {
+export function createJsonWriter(options: CompletionWriterOptions): AnswerSink {
   const { response, requestId, model, createdSeconds } = options;
-  const pieces: string[] = [];
+  const deltas: string[] = [];
 
   function buildBody(end: AnswerEnd): object {
     const isCompletion = end.kind === 'completion';
@@ -89,7 +94,7 @@
       choices: [
         {
           index: 0,
-          message: { role: 'assistant', content: pieces.join('') },
+          message: { role: 'assistant', content: deltas.join('') },
           finish_reason: isCompletion ? end.finishReason : 'stop',
         },
       ],
@@ -99,7 +104,7 @@
 
   return {
     onDelta(text) {
-      pieces.push(text);
+      deltas.push(text);
     },
     onComplete(end) {
       if (!response.destroyed) response.json(buildBody(end));
--- a/src/node/caller-api.ts
+++ b/src/node/caller-api.ts
@@ -15,27 +15,27 @@
 import type { RequestFailure } from '../types/outcomes.js';
 import { hashName, hashText } from '../utils/hash.js';
 import {
-  createBodyWriter,
+  createJsonWriter,
   createServiceWriter,
   createStreamWriter,
   sendFailure,
 } from './answer-writers.js';
 import type { Authenticator } from './authenticator.js';
 import {
-  createNotRun,
+  createNotRunFailure,
   findModelPool,
   findServicePool,
   listModels,
   parseCompletionBody,
-  resolveShape,
+  resolveRequestOptions,
 } from './check-request.js';
-import type { CompletionBody, RequestShape, ShapingHeaders } from './check-request.js';
+import type { CompletionBody, RequestOptions, RoutingHeaders } from './check-request.js';
 import type { RequestRunner, RunningRequest } from './request-runner.js';
 
 /** Characters of a prompt that count as its prefix. */
 const PREFIX_CHARACTERS = 256;
-const READY_RETRY_MS = 1000;
-const SAFE_METHODS = ['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'];
+const NOT_READY_RETRY_MS = 1000;
+const IDEMPOTENT_METHODS = ['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'];
 const FORWARDED_HEADERS = ['content-type', 'accept', 'idempotency-key'] as const;
 const SERVICE_PATH = /^\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 
@@ -60,7 +60,7 @@
   return String(response.locals.requestId);
 }
 
-function readHeaders(request: Request): ShapingHeaders {
+function readHeaders(request: Request): RoutingHeaders {
   return {
     className: request.get('x-hyssoptally-class'),
     repeatable: request.get('x-hyssoptally-repeatable'),
@@ -84,12 +84,12 @@
 function buildBodyFailure(error: unknown, maxBodyBytes: number): RequestFailure {
   const { type } = error as { type?: string };
   if (type === 'entity.too.large') {
-    return createNotRun(
+    return createNotRunFailure(
       FAILURE.TooLarge,
       `the body is larger than ${maxBodyBytes} bytes; send a shorter one`,
     );
   }
-  return createNotRun(FAILURE.BadRequest, 'the body is not valid JSON; correct it');
+  return createNotRunFailure(FAILURE.BadRequest, 'the body is not valid JSON; correct it');
 }
 
 /** Builds the application. */
@@ -111,14 +111,18 @@
     const requestId = getRequestId(response);
     if (declarations === undefined) {
       const message = 'this instance has no configuration yet; try another';
-      sendFailure(response, createNotRun(FAILURE.NotReady, message, READY_RETRY_MS), requestId);
+      sendFailure(
+        response,
+        createNotRunFailure(FAILURE.NotReady, message, NOT_READY_RETRY_MS),
+        requestId,
+      );
       return;
     }
     const organisation = authenticator.find(request.headers.authorization);
     if (organisation === undefined) {
       response.set('www-authenticate', 'Bearer');
       const message = 'the key is missing or unknown; send Authorization: Bearer KEY';
-      sendFailure(response, createNotRun(FAILURE.Unauthenticated, message), requestId);
+      sendFailure(response, createNotRunFailure(FAILURE.Unauthenticated, message), requestId);
       return;
     }
     response.locals.caller = { requestId, organisation, declarations } satisfies CallerContext;
@@ -130,14 +134,14 @@
   }
 
   /** Admits a request under its organisation's limits, or answers the refusal. */
-  function isAdmitted(caller: CallerContext, response: Response): boolean {
+  function takeAdmission(caller: CallerContext, response: Response): boolean {
     const nowMs = timers.clock.monotonicMs();
-    const verdict = limiter.take(caller.organisation, options.getPeerDemand(), nowMs);
-    if (verdict.kind === 'admitted') return true;
-    const message = `the organisation's ${verdict.limit} limit is reached; come back after the time given, or ask its operators for more`;
+    const admission = limiter.take(caller.organisation, options.getPeerDemand(), nowMs);
+    if (admission.kind === 'admitted') return true;
+    const message = `the organisation's ${admission.limit} limit is reached; come back after the time given, or ask its operators for more`;
     sendFailure(
       response,
-      createNotRun(FAILURE.OrganisationLimit, message, verdict.retryAfterMs),
+      createNotRunFailure(FAILURE.OrganisationLimit, message, admission.retryAfterMs),
       caller.requestId,
     );
     return false;
@@ -161,21 +165,21 @@
   function runRequest(
     response: Response,
     caller: CallerContext,
-    shape: RequestShape,
+    requestOptions: RequestOptions,
     pool: PoolDeclaration,
     routed: Pick<RoutedRequest, 'work' | 'bodyHash' | 'prefixHash'>,
     sink: AnswerSink,
   ): RunningRequest | undefined {
-    if (!isAdmitted(caller, response)) return undefined;
+    if (!takeAdmission(caller, response)) return undefined;
     const running = runner.run(
       {
         requestId: caller.requestId,
         organisation: caller.organisation,
-        classDeclaration: shape.classDeclaration,
+        classDeclaration: requestOptions.classDeclaration,
         pool,
-        repeatability: shape.repeatability,
-        idempotencyKey: shape.idempotencyKey,
-        deadlineMs: timers.clock.monotonicMs() + shape.deadlineInMs,
+        repeatability: requestOptions.repeatability,
+        idempotencyKey: requestOptions.idempotencyKey,
+        deadlineMs: timers.clock.monotonicMs() + requestOptions.timeoutMs,
         ...routed,
       },
       createReleasingSink(caller, sink),
@@ -194,14 +198,14 @@
       sendFailure(response, body.val, requestId);
       return;
     }
-    const shape = resolveShape(
+    const requestOptions = resolveRequestOptions(
       caller.declarations,
       caller.organisation,
       readHeaders(request),
       true,
     );
-    if (shape.err) {
-      sendFailure(response, shape.val, requestId);
+    if (requestOptions.err) {
+      sendFailure(response, requestOptions.val, requestId);
       return;
     }
     const pool = findModelPool(caller.declarations, caller.organisation, body.val.model);
@@ -216,7 +220,7 @@
       model: body.val.model,
       createdSeconds: Math.floor(timers.clock.wallMs() / 1000),
       // Guards against callers that stop reading: their answers would pile up in memory.
-      onSlow: () => {
+      onSlowReader: () => {
         running?.close();
         response.destroy();
       },
@@ -224,17 +228,17 @@
     running = runRequest(
       response,
       caller,
-      shape.val,
+      requestOptions.val,
       pool.val,
       {
         work: buildCompletionWork(body.val),
         bodyHash:
-          shape.val.repeatability === REPEATABILITY.Once
+          requestOptions.val.repeatability === REPEATABILITY.Once
             ? hashText(JSON.stringify(request.body))
             : '',
         prefixHash: computePrefixHash(caller.organisation.name, body.val),
       },
-      body.val.stream ? createStreamWriter(writer) : createBodyWriter(writer),
+      body.val.stream ? createStreamWriter(writer) : createJsonWriter(writer),
     );
   }
 
@@ -246,11 +250,16 @@
       sendFailure(response, pool.val, caller.requestId);
       return;
     }
-    const isSafe = SAFE_METHODS.includes(request.method);
+    const isIdempotent = IDEMPOTENT_METHODS.includes(request.method);
     const headers = readHeaders(request);
-    const shape = resolveShape(caller.declarations, caller.organisation, headers, isSafe);
-    if (shape.err) {
-      sendFailure(response, shape.val, caller.requestId);
+    const requestOptions = resolveRequestOptions(
+      caller.declarations,
+      caller.organisation,
+      headers,
+      isIdempotent,
+    );
+    if (requestOptions.err) {
+      sendFailure(response, requestOptions.val, caller.requestId);
       return;
     }
     const body = Buffer.isBuffer(request.body) ? request.body : undefined;
@@ -271,7 +280,7 @@
     runRequest(
       response,
       caller,
-      shape.val,
+      requestOptions.val,
       pool.val,
       { work, bodyHash: hashText(identity), prefixHash: 0 },
       createServiceWriter(response, caller.requestId),
@@ -299,7 +308,11 @@
   app.use((_, response) => {
     const message =
       'there is no such path; use /v1/chat/completions, /v1/models or /services/POOL/PATH';
-    sendFailure(response, createNotRun(FAILURE.UnknownPath, message), getRequestId(response));
+    sendFailure(
+      response,
+      createNotRunFailure(FAILURE.UnknownPath, message),
+      getRequestId(response),
+    );
   });
   app.use(handleError);
   return app;
--- a/src/node/check-request.ts
+++ b/src/node/check-request.ts
@@ -14,8 +14,8 @@
 import { Err, Ok } from '../utils/result.js';
 import type { Result } from '../utils/result.js';
 
-const IDEMPOTENCY_KEY_MAX = 256;
-const MAX_TOKENS_MAX = 1_000_000;
+const IDEMPOTENCY_KEY_MAX_LENGTH = 256;
+const MAX_TOKENS_LIMIT = 1_000_000;
 
 const contentSchema = z.union([z.string(), z.array(z.looseObject({ type: z.string() })).min(1)]);
 
@@ -26,13 +26,13 @@
     .min(1)
     .max(4096),
   stream: z.boolean().default(false),
-  max_tokens: z.number().int().positive().max(MAX_TOKENS_MAX).optional(),
+  max_tokens: z.number().int().positive().max(MAX_TOKENS_LIMIT).optional(),
 });
 
 export type CompletionBody = z.infer<typeof completionSchema>;
 
 /** Headers that shape a request, as sent. */
-export interface ShapingHeaders {
+export interface RoutingHeaders {
   readonly className: string | undefined;
   readonly repeatable: string | undefined;
   readonly idempotencyKey: string | undefined;
@@ -40,15 +40,15 @@
 }
 
 /** How a request is to be treated. */
-export interface RequestShape {
+export interface RequestOptions {
   readonly classDeclaration: ClassDeclaration;
   readonly repeatability: Repeatability;
   readonly idempotencyKey: string | undefined;
-  readonly deadlineInMs: number;
+  readonly timeoutMs: number;
 }
 
 /** A failure of a request that was not run. */
-export function createNotRun(
+export function createNotRunFailure(
   type: Failure,
   message: string,
   retryAfterMs?: number,
@@ -62,11 +62,11 @@
   const parsed = completionSchema.safeParse(body);
   if (parsed.success) return Ok(parsed.data);
   const [issue] = parsed.error.issues;
-  const where = issue?.path.map(String).join('.') ?? '';
+  const path = issue?.path.map(String).join('.') ?? '';
   return Err(
-    createNotRun(
+    createNotRunFailure(
       FAILURE.BadRequest,
-      `${where === '' ? 'the body' : where}: ${issue?.message ?? 'is wrong'}; correct it`,
+      `${path === '' ? 'the body' : path}: ${issue?.message ?? 'is wrong'}; correct it`,
     ),
   );
 }
@@ -74,13 +74,13 @@
 function resolveClass(
   declarations: Declarations,
   organisation: OrganisationDeclaration,
-  asked: string | undefined,
+  requested: string | undefined,
 ): Result<ClassDeclaration, RequestFailure> {
-  const name = asked ?? organisation.defaultClass;
+  const name = requested ?? organisation.defaultClass;
   const declaration = declarations.classes.get(name);
   if (declaration !== undefined && organisation.classes.includes(name)) return Ok(declaration);
   return Err(
-    createNotRun(
+    createNotRunFailure(
       FAILURE.ForbiddenClass,
       `class ${JSON.stringify(name.slice(0, 64))} is not open to this organisation; use one of ${organisation.classes.join(', ')}`,
     ),
@@ -89,42 +89,42 @@
 
 /** `isSafeMethod` tells a call that may be repeated by its very method. */
 function resolveRepeatability(
-  headers: ShapingHeaders,
-  isSafeMethod: boolean,
+  headers: RoutingHeaders,
+  isIdempotentMethod: boolean,
 ): Result<Repeatability, RequestFailure> {
   switch (headers.repeatable) {
     case undefined:
-      return Ok(isSafeMethod ? REPEATABILITY.Repeatable : REPEATABILITY.SingleAttempt);
+      return Ok(isIdempotentMethod ? REPEATABILITY.Repeatable : REPEATABILITY.SingleAttempt);
     case 'true':
       return Ok(REPEATABILITY.Repeatable);
     case 'false':
       break;
     default:
       return Err(
-        createNotRun(FAILURE.BadRequest, 'x-hyssoptally-repeatable must be true or false'),
+        createNotRunFailure(FAILURE.BadRequest, 'x-hyssoptally-repeatable must be true or false'),
       );
   }
   const length = headers.idempotencyKey?.length ?? 0;
-  if (length > 0 && length <= IDEMPOTENCY_KEY_MAX) return Ok(REPEATABILITY.Once);
+  if (length > 0 && length <= IDEMPOTENCY_KEY_MAX_LENGTH) return Ok(REPEATABILITY.Once);
   return Err(
-    createNotRun(
+    createNotRunFailure(
       FAILURE.BadRequest,
-      `a request that is not repeatable needs an Idempotency-Key of 1 to ${IDEMPOTENCY_KEY_MAX} characters`,
+      `a request that is not repeatable needs an Idempotency-Key of 1 to ${IDEMPOTENCY_KEY_MAX_LENGTH} characters`,
     ),
   );
 }
 
 function resolveDeadline(
-  asked: string | undefined,
+  requested: string | undefined,
   declaration: ClassDeclaration,
 ): Result<number, RequestFailure> {
-  if (asked === undefined) return Ok(declaration.deadlineMs);
-  const deadlineMs = Number(asked);
+  if (requested === undefined) return Ok(declaration.deadlineMs);
+  const deadlineMs = Number(requested);
   if (Number.isFinite(deadlineMs) && deadlineMs > 0) {
     return Ok(Math.min(deadlineMs, declaration.deadlineMs));
   }
   return Err(
-    createNotRun(
+    createNotRunFailure(
       FAILURE.BadRequest,
       'x-hyssoptally-deadline-ms must be a number of milliseconds above 0',
     ),
@@ -132,23 +132,23 @@
 }
 
 /** Resolves the headers that shape a request. */
-export function resolveShape(
+export function resolveRequestOptions(
   declarations: Declarations,
   organisation: OrganisationDeclaration,
-  headers: ShapingHeaders,
-  isSafeMethod: boolean,
-): Result<RequestShape, RequestFailure> {
+  headers: RoutingHeaders,
+  isIdempotentMethod: boolean,
+): Result<RequestOptions, RequestFailure> {
   const classDeclaration = resolveClass(declarations, organisation, headers.className);
   if (classDeclaration.err) return classDeclaration;
-  const repeatability = resolveRepeatability(headers, isSafeMethod);
+  const repeatability = resolveRepeatability(headers, isIdempotentMethod);
   if (repeatability.err) return repeatability;
-  const deadlineInMs = resolveDeadline(headers.deadlineMs, classDeclaration.val);
-  if (deadlineInMs.err) return deadlineInMs;
+  const timeoutMs = resolveDeadline(headers.deadlineMs, classDeclaration.val);
+  if (timeoutMs.err) return timeoutMs;
   return Ok({
     classDeclaration: classDeclaration.val,
     repeatability: repeatability.val,
     idempotencyKey: headers.idempotencyKey,
-    deadlineInMs: deadlineInMs.val,
+    timeoutMs: timeoutMs.val,
   });
 }
 
@@ -163,7 +163,7 @@
     if (pool?.kind === POOL_KIND.Engine && pool.models.includes(model)) return Ok(pool);
   }
   return Err(
-    createNotRun(
+    createNotRunFailure(
       FAILURE.UnknownModel,
       `model ${JSON.stringify(model.slice(0, 64))} is not open to this organisation; GET /v1/models lists those that are`,
     ),
@@ -177,10 +177,10 @@
   name: string,
 ): Result<PoolDeclaration, RequestFailure> {
   const pool = declarations.pools.get(name);
-  const isOpen = organisation.pools.includes(name) && pool?.kind === POOL_KIND.Service;
-  if (isOpen) return Ok(pool);
+  const isAllowed = organisation.pools.includes(name) && pool?.kind === POOL_KIND.Service;
+  if (isAllowed) return Ok(pool);
   return Err(
-    createNotRun(
+    createNotRunFailure(
       FAILURE.UnknownPool,
       `service ${JSON.stringify(name.slice(0, 64))} is not open to this organisation; ask its operators`,
     ),
--- a/src/node/claim-desk.ts
+++ b/src/node/claim-runner.ts
@@ -21,9 +21,9 @@
 import { assertNever } from '../utils/assert-never.js';
 import type { Result } from '../utils/result.js';
 
-const SETTLE_TRIES = 3;
-const SETTLE_PAUSE_MS = 500;
-const BUDGET_RETRY_MS = 1000;
+const SETTLE_WRITE_TRIES = 3;
+const SETTLE_RETRY_DELAY_MS = 500;
+const WRITE_BUDGET_RETRY_MS = 1000;
 
 /** A claim this entry holds. */
 export interface HeldClaim {
@@ -34,7 +34,7 @@
 }
 
 /** How claiming ended. */
-export type ClaimEnding =
+export type ClaimResult =
   | { readonly kind: 'held'; readonly claim: HeldClaim }
   | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | { readonly kind: 'refused'; readonly failure: RequestFailure };
@@ -48,7 +48,7 @@
 }
 
 /** Settings of a claim desk. */
-export interface ClaimDeskOptions {
+export interface ClaimRunnerOptions {
   readonly self: string;
   readonly table: TableClient;
   readonly timers: TimerService;
@@ -59,13 +59,13 @@
 }
 
 /** Claims of one entry. */
-export interface ClaimDesk {
-  claim(request: ClaimRequest): Promise<ClaimEnding>;
+export interface ClaimRunner {
+  claim(request: ClaimRequest): Promise<ClaimResult>;
   /** What this entry tells others of an attempt. */
   getVerdict(attemptId: string): AttemptVerdict;
 }
 
-function computeWriteEnding(result: Result<void, PlatformError>): WriteEnding {
+function computeWriteResult(result: Result<void, PlatformError>): WriteEnding {
   if (result.ok) return 'written';
   switch (result.val.kind) {
     case PLATFORM_FAILURE.Conflict:
@@ -80,21 +80,21 @@
 }
 
 /** Builds a desk that holds nothing. */
-export function createClaimDesk(options: ClaimDeskOptions): ClaimDesk {
+export function createClaimRunner(options: ClaimRunnerOptions): ClaimRunner {
   const { self, table, timers, metrics, writesPerSecond } = options;
   const { clock } = timers;
   const ledger = createAttemptLedger();
-  let allowance = writesPerSecond;
+  let availableWrites = writesPerSecond;
   let refilledMs = clock.monotonicMs();
 
   /** Keeps this entry's part of the platform's writes; a claim costs two. */
-  function hasWriteBudget(): boolean {
+  function takeWriteBudget(): boolean {
     const nowMs = clock.monotonicMs();
     const refill = ((nowMs - refilledMs) / 1000) * writesPerSecond;
-    allowance = Math.min(writesPerSecond, allowance + refill);
+    availableWrites = Math.min(writesPerSecond, availableWrites + refill);
     refilledMs = nowMs;
-    if (allowance < 2) return false;
-    allowance -= 2;
+    if (availableWrites < 2) return false;
+    availableWrites -= 2;
     return true;
   }
 
@@ -108,9 +108,9 @@
     return { kind: 'read', claim, wallMs: clock.wallMs() };
   }
 
-  async function queryEntry(entry: string, attemptId: string): Promise<ClaimMessage> {
+  async function queryInstance(instance: string, attemptId: string): Promise<ClaimMessage> {
     const verdict =
-      entry === self ? getVerdict(attemptId) : await options.queryAttempt(entry, attemptId);
+      instance === self ? getVerdict(attemptId) : await options.queryAttempt(instance, attemptId);
     return { kind: 'answered', verdict };
   }
 
@@ -123,18 +123,18 @@
         metrics.count(METRIC.ClaimsWritten);
         const { document } = command;
         const written = await table.transact([{ kind: 'insert', key, document }]);
-        return { kind: 'inserted', ending: computeWriteEnding(written) };
+        return { kind: 'inserted', ending: computeWriteResult(written) };
       }
       case 'take_over': {
         metrics.count(METRIC.ClaimsWritten);
         const { document, expectedVersion } = command;
         const written = await table.transact([{ kind: 'replace', key, document, expectedVersion }]);
-        return { kind: 'taken_over', ending: computeWriteEnding(written) };
+        return { kind: 'taken_over', ending: computeWriteResult(written) };
       }
       case 'read':
         return readClaim(key);
       case 'query':
-        return queryEntry(command.entry, command.attemptId);
+        return queryInstance(command.entry, command.attemptId);
       case 'proceed':
       case 'replay':
       case 'refuse':
@@ -159,12 +159,12 @@
     }
   }
 
-  async function writeSettled(
+  async function writeSettledClaim(
     key: ItemKey,
     version: number,
     document: ClaimDocument,
   ): Promise<void> {
-    for (let tries = 0; tries < SETTLE_TRIES; tries += 1) {
+    for (let tries = 0; tries < SETTLE_WRITE_TRIES; tries += 1) {
       metrics.count(METRIC.ClaimsWritten);
       // eslint-disable-next-line no-await-in-loop
       const written = await table.transact([
@@ -174,7 +174,7 @@
       if (written.ok || written.val.kind === PLATFORM_FAILURE.Conflict) return;
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
-        timers.subscribeOnce(SETTLE_PAUSE_MS, resolve);
+        timers.subscribeOnce(SETTLE_RETRY_DELAY_MS, resolve);
       });
     }
   }
@@ -194,16 +194,16 @@
       },
       settle(state, answer) {
         if (!isTaken) ledger.remove(attemptId);
-        const isKept = answer !== undefined && answer.body.length <= STORED_ANSWER_MAX;
-        const document = claim.buildDocument(state, isKept ? answer : undefined);
-        writeSettled(key, version, document).catch(() => undefined);
+        const isStored = answer !== undefined && answer.body.length <= STORED_ANSWER_MAX;
+        const document = claim.buildDocument(state, isStored ? answer : undefined);
+        writeSettledClaim(key, version, document).catch(() => undefined);
       },
     };
   }
 
   return {
     async claim(request) {
-      if (!hasWriteBudget()) {
+      if (!takeWriteBudget()) {
         return {
           kind: 'refused',
           failure: {
@@ -211,7 +211,7 @@
             message:
               'too many once-only requests at the moment; this one was not run; send it again',
             outcome: OUTCOME.NotRun,
-            retryAfterMs: BUDGET_RETRY_MS,
+            retryAfterMs: WRITE_BUDGET_RETRY_MS,
           },
         };
       }
--- a/src/node/configuration-runner.ts
+++ b/src/node/configuration-runner.ts
@@ -14,12 +14,12 @@
 
 const TICK_MS = 200;
 /** Texts asked of a peer in one call. */
-const TEXTS_PER_CALL = 200;
+const TEXTS_PER_REQUEST = 200;
 /** Texts fetched from the object store at once. */
-const PARALLEL_READS = 8;
+const CONCURRENT_READS_MAX = 8;
 
 /** A configuration as fetched. */
-interface Fetched {
+interface FetchedConfiguration {
   readonly version: number;
   readonly manifest: string;
   readonly texts: ReadonlyMap<string, string>;
@@ -65,15 +65,15 @@
     handleMessage({ kind: 'announced', version: head.val.version, source: PLATFORM_SOURCE });
   }
 
-  async function fetchFromPlatform(): Promise<Fetched | undefined> {
+  async function fetchFromPlatform(): Promise<FetchedConfiguration | undefined> {
     const head = await store.getHead();
     if (head.err || head.val === undefined) return undefined;
     const manifest = await store.getText(head.val.document.manifestHash);
     if (manifest.err) return undefined;
     const missing = keeper.listMissing(parseManifest(manifest.val));
     const texts = new Map<string, string>();
-    for (let start = 0; start < missing.length; start += PARALLEL_READS) {
-      const hashes = missing.slice(start, start + PARALLEL_READS);
+    for (let start = 0; start < missing.length; start += CONCURRENT_READS_MAX) {
+      const hashes = missing.slice(start, start + CONCURRENT_READS_MAX);
       // Batch after batch: the platform's reads are limited.
       // eslint-disable-next-line no-await-in-loop
       const loaded = await Promise.all(hashes.map((hash) => store.getText(hash)));
@@ -84,14 +84,14 @@
     return { version: head.val.version, manifest: manifest.val, texts };
   }
 
-  async function fetchFromPeer(peer: string): Promise<Fetched | undefined> {
+  async function fetchFromPeer(peer: string): Promise<FetchedConfiguration | undefined> {
     const head = await options.fetchFromPeer(peer, []);
     if (head === undefined) return undefined;
     const { version, manifest } = head;
     const missing = keeper.listMissing(parseManifest(manifest));
     const texts = new Map<string, string>();
-    for (let start = 0; start < missing.length; start += TEXTS_PER_CALL) {
-      const hashes = missing.slice(start, start + TEXTS_PER_CALL);
+    for (let start = 0; start < missing.length; start += TEXTS_PER_REQUEST) {
+      const hashes = missing.slice(start, start + TEXTS_PER_REQUEST);
       // eslint-disable-next-line no-await-in-loop
       const answer = await options.fetchFromPeer(peer, hashes);
       for (const blob of answer?.blobs ?? []) texts.set(blob.hash, blob.text);
--- a/src/node/control-runner.ts
+++ b/src/node/control-runner.ts
@@ -23,8 +23,8 @@
 import { assertNever } from '../utils/assert-never.js';
 import type { EndpointClient } from './endpoint-client.js';
 
-const LOOK_MS = 1000;
-const LOOK_TIMEOUT_MS = 800;
+const HEALTH_CHECK_PERIOD_MS = 1000;
+const HEALTH_CHECK_TIMEOUT_MS = 800;
 const LEASE_TICK_MS = 500;
 
 const reportSchema = z.object({
@@ -40,16 +40,16 @@
   readonly timers: TimerService;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  readonly listOwned: () => readonly Shard[];
+  readonly listOwnedShards: () => readonly Shard[];
   readonly getDeclarations: () => Declarations | undefined;
   readonly onEndpointState: (endpoint: string, isLeaving: boolean) => void;
-  readonly onSeen: (endpoint: string, isReachable: boolean) => void;
+  readonly onReachability: (endpoint: string, isReachable: boolean) => void;
 }
 
 /** Control duties of one instance. */
 export interface ControlRunner {
   /** Shards whose lease this instance may order under now. */
-  listLeased(): string[];
+  listLeasedShards(): string[];
 }
 
 interface ShardControl {
@@ -62,14 +62,14 @@
 export function createControlRunner(options: ControlRunnerOptions): ControlRunner {
   const { self, table, endpoints, timers, metrics, logger } = options;
   const controls = new Map<string, ShardControl>();
-  const getMoment = (): ClockReading => ({
+  const getClockReading = (): ClockReading => ({
     monotonicMs: timers.clock.monotonicMs(),
     wallMs: timers.clock.wallMs(),
   });
 
   function getControl(shard: string): ShardControl {
-    const known = controls.get(shard);
-    if (known !== undefined) return known;
+    const existing = controls.get(shard);
+    if (existing !== undefined) return existing;
     const control = {
       lease: createLease({ holder: self, timings: ORDER_LEASE, createWriteId: randomUUID }),
       reconciler: createReconciler(),
@@ -136,38 +136,38 @@
   }
 
   function handleLease(shard: string, message: LeaseMessage): void {
-    for (const command of getControl(shard).lease.handle(message, getMoment())) {
+    for (const command of getControl(shard).lease.handle(message, getClockReading())) {
       runLeaseCommand(shard, command).catch(() => undefined);
     }
   }
 
   async function fetchReport(endpoint: EndpointDeclaration): Promise<EngineReport | undefined> {
-    const answer = await endpoints.fetchJson(endpoint, '/load', undefined, LOOK_TIMEOUT_MS);
+    const answer = await endpoints.fetchJson(endpoint, '/load', undefined, HEALTH_CHECK_TIMEOUT_MS);
     const parsed = reportSchema.safeParse(answer);
     // Leaving before seen: an endpoint back in sight gets work at once, also one that leaves and
     // whose leaving was announced while it was behind a cut.
     if (parsed.success) options.onEndpointState(endpoint.name, parsed.data.isLeaving);
-    options.onSeen(endpoint.name, answer !== undefined);
+    options.onReachability(endpoint.name, answer !== undefined);
     if (!parsed.success) return undefined;
     return { endpoint: endpoint.name, models: parsed.data.models };
   }
 
-  function isOrdered(shard: Shard): boolean {
+  function hasDeclaredModels(shard: Shard): boolean {
     const pool = options.getDeclarations()?.pools.get(shard.pool);
     return pool?.kind === POOL_KIND.Engine && pool.models.length > 0;
   }
 
   function sendOrders(shard: Shard): void {
     const control = getControl(shard.name);
-    const wanted = options.getDeclarations()?.pools.get(shard.pool)?.models ?? [];
-    const fence = control.lease.getGrant(getMoment())?.fence;
+    const declaredModels = options.getDeclarations()?.pools.get(shard.pool)?.models ?? [];
+    const fence = control.lease.getGrant(getClockReading())?.fence;
     if (fence === undefined) return;
     const nowMs = timers.clock.monotonicMs();
-    const orders = control.reconciler.handle(control.reports, wanted, fence, nowMs);
+    const orders = control.reconciler.handle(control.reports, declaredModels, fence, nowMs);
     for (const order of orders) {
       const endpoint = shard.endpoints.find((candidate) => candidate.name === order.endpoint);
       // The last look: nothing waits between this check and the send.
-      const isStillHeld = control.lease.getGrant(getMoment())?.fence === order.fence;
+      const isStillHeld = control.lease.getGrant(getClockReading())?.fence === order.fence;
       if (endpoint !== undefined && isStillHeld) {
         metrics.count(METRIC.OrdersSent);
         logger.info('order sent', { endpoint: order.endpoint, fence, models: order.models });
@@ -177,20 +177,20 @@
     }
   }
 
-  async function runLook(shard: Shard): Promise<void> {
+  async function checkEndpoints(shard: Shard): Promise<void> {
     const reports = await Promise.all(shard.endpoints.map(fetchReport));
     getControl(shard.name).reports = reports.filter((report) => report !== undefined);
-    if (isOrdered(shard)) sendOrders(shard);
+    if (hasDeclaredModels(shard)) sendOrders(shard);
   }
 
-  timers.subscribe(LOOK_MS, () => {
-    for (const shard of options.listOwned()) runLook(shard).catch(() => undefined);
+  timers.subscribe(HEALTH_CHECK_PERIOD_MS, () => {
+    for (const shard of options.listOwnedShards()) checkEndpoints(shard).catch(() => undefined);
   });
   timers.subscribe(LEASE_TICK_MS, () => {
-    const owned = new Map(options.listOwned().map((shard) => [shard.name, shard]));
+    const owned = new Map(options.listOwnedShards().map((shard) => [shard.name, shard]));
     for (const name of controls.keys()) if (!owned.has(name)) controls.delete(name);
     for (const shard of owned.values()) {
-      if (isOrdered(shard)) handleLease(shard.name, { kind: 'tick', isWanted: true });
+      if (hasDeclaredModels(shard)) handleLease(shard.name, { kind: 'tick', isWanted: true });
     }
   });
   timers.events.on('pause', () => {
@@ -198,9 +198,9 @@
   });
 
   return {
-    listLeased: () =>
+    listLeasedShards: () =>
       [...controls]
-        .filter(([, control]) => control.lease.getGrant(getMoment())?.fence !== undefined)
+        .filter(([, control]) => control.lease.getGrant(getClockReading())?.fence !== undefined)
         .map(([name]) => name),
   };
 }
--- a/src/node/endpoint-client.ts
+++ b/src/node/endpoint-client.ts
@@ -12,11 +12,11 @@
 const CONNECT_TIMEOUT_MS = 800;
 const CONNECTIONS_MAX = 512;
 const KEEP_ALIVE_MS = 10_000;
-const SERVICE_BODY_MAX = 16 * 1024 * 1024;
+const SERVICE_BODY_MAX_CHARACTERS = 16 * 1024 * 1024;
 /** Errors raised before a byte of the request was sent: proof that nothing ran. */
 const UNSENT_CODES = ['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH'];
 const LEAVING_HEADER = 'x-endpoint-leaving';
-const DONE_MARK = '[DONE]';
+const DONE_EVENT_DATA = '[DONE]';
 
 /** What an attempt reports while it runs. */
 export interface AttemptListener {
@@ -119,8 +119,8 @@
 
 function computeStatusEnding(response: Dispatcher.ResponseData): AttemptEnding {
   if (response.headers[LEAVING_HEADER] === 'true') return 'leaving';
-  const isCallersFault = response.statusCode >= 400 && response.statusCode < 500;
-  return isCallersFault && response.statusCode !== 429 ? 'rejected' : 'error';
+  const isClientError = response.statusCode >= 400 && response.statusCode < 500;
+  return isClientError && response.statusCode !== 429 ? 'rejected' : 'error';
 }
 
 /** Builds a client without connections. */
@@ -129,8 +129,8 @@
 
   function getPool(url: string): Pool {
     const { origin } = new URL(url);
-    const known = pools.get(origin);
-    if (known !== undefined) return known;
+    const existing = pools.get(origin);
+    if (existing !== undefined) return existing;
     const pool = new Pool(origin, {
       connections: CONNECTIONS_MAX,
       connectTimeout: CONNECT_TIMEOUT_MS,
@@ -145,33 +145,34 @@
   }
 
   function createFrameReader(attempt: CompletionAttempt, listener: AttemptListener) {
-    let count = attempt.offset;
+    let nextIndex = attempt.offset;
     let finish: { id: string; reason: string } | undefined;
-    let isWhole = false;
+    let isDone = false;
     const parser = createParser({
       onEvent(event) {
-        if (event.data === DONE_MARK) {
-          isWhole = finish !== undefined;
+        if (event.data === DONE_EVENT_DATA) {
+          isDone = finish !== undefined;
           return;
         }
         const frame = parseFrame(event.data);
         if (frame === undefined) return;
         const { id, index, text, finishReason } = frame;
-        const isMine = id === attempt.attemptId;
+        const isSameAttempt = id === attempt.attemptId;
         if (text !== '') {
-          const position = index ?? count;
+          const position = index ?? nextIndex;
           listener.onFrame(id, position, text);
           // By position, not by number: a frame that came twice must not make the answer longer.
-          if (isMine) count = Math.max(count, position + 1);
+          if (isSameAttempt) nextIndex = Math.max(nextIndex, position + 1);
         }
-        if (finishReason !== undefined && isMine) finish = { id, reason: finishReason };
+        if (finishReason !== undefined && isSameAttempt) finish = { id, reason: finishReason };
       },
     });
     return {
       feed: (chunk: string) => parser.feed(chunk),
       close() {
         // Guards against an answer cut short: without its end marker it is never taken for whole.
-        if (isWhole && finish !== undefined) listener.onFinished(finish.id, count, finish.reason);
+        if (isDone && finish !== undefined)
+          listener.onFinished(finish.id, nextIndex, finish.reason);
         else listener.onEnded('broken');
       },
     };
@@ -190,8 +191,8 @@
       body: attempt.body,
       signal,
     });
-    const isMine = response.headers['x-request-id'] === attempt.attemptId;
-    if (response.statusCode !== 200 || !isMine) {
+    const isSameAttempt = response.headers['x-request-id'] === attempt.attemptId;
+    if (response.statusCode !== 200 || !isSameAttempt) {
       await response.body.dump();
       listener.onEnded(response.statusCode === 200 ? 'broken' : computeStatusEnding(response));
       return;
@@ -225,7 +226,7 @@
       signal,
     });
     const body = await response.body.text();
-    if (body.length > SERVICE_BODY_MAX) return { kind: 'ended', ending: 'error' };
+    if (body.length > SERVICE_BODY_MAX_CHARACTERS) return { kind: 'ended', ending: 'error' };
     if (response.headers[LEAVING_HEADER] === 'true') return { kind: 'ended', ending: 'leaving' };
     if (response.statusCode >= 500) return { kind: 'ended', ending: 'error' };
     const contentType = String(response.headers['content-type'] ?? 'application/octet-stream');
--- a/src/node/fleet-view.ts
+++ b/src/node/fleet-view.ts
@@ -19,7 +19,7 @@
 
 /** Membership advances this often, in milliseconds. */
 const TICK_MS = 50;
-const LIST_PERIOD_MS = 2000;
+const INSTANCE_LIST_PERIOD_MS = 2000;
 /** Instances that read the platform's head in each data centre. */
 const POLLERS_PER_DATA_CENTRE = 2;
 
@@ -48,7 +48,7 @@
 /** The fleet as one instance sees it. */
 export interface FleetView {
   handle(from: string, body: GossipBody): void;
-  recordEndpoint(endpoint: string, isLeaving: boolean): void;
+  recordEndpointState(endpoint: string, isLeaving: boolean): void;
   recordUnreachable(address: string): void;
   setConfigurationVersion(version: number): void;
   setDemand(shares: readonly DemandShare[]): void;
@@ -98,7 +98,7 @@
   }
 
   /** Those the platform lists; nobody where the list is not used. */
-  async function updateListing(): Promise<readonly ListedInstance[]> {
+  async function updateInstanceList(): Promise<readonly ListedInstance[]> {
     const isUsed = options.usesList?.() ?? true;
     if (!isUsed && !isListed) return [];
     isListed = true;
@@ -110,7 +110,7 @@
   }
 
   async function updateContacts(): Promise<void> {
-    const live = await updateListing();
+    const live = await updateInstanceList();
     const known = new Set(membership.listMembers().map((fact) => fact.address));
     // A seed has no name until it answers; once its address is a member's it is no news.
     const seeds: Contact[] = options.seeds
@@ -119,19 +119,19 @@
     runMembership({ kind: 'contacts', contacts: [...live, ...seeds] });
   }
 
-  function startUpdate(): void {
+  function startContactUpdate(): void {
     updateContacts().catch(() => undefined);
   }
 
   timers.subscribe(options.tickMs ?? TICK_MS, () => runMembership({ kind: 'tick' }));
-  timers.subscribe(LIST_PERIOD_MS, startUpdate);
-  timers.subscribeOnce(0, startUpdate);
+  timers.subscribe(INSTANCE_LIST_PERIOD_MS, startContactUpdate);
+  timers.subscribeOnce(0, startContactUpdate);
 
   return {
     handle(from, body) {
       runMembership({ kind: 'received', from, body });
     },
-    recordEndpoint(endpoint, isLeaving) {
+    recordEndpointState(endpoint, isLeaving) {
       runMembership({ kind: 'endpoint', endpoint, isLeaving, wallMs: timers.clock.wallMs() });
     },
     recordUnreachable(address) {
@@ -145,7 +145,7 @@
     },
     leave() {
       runMembership({ kind: 'leave' });
-      startUpdate();
+      startContactUpdate();
     },
     left() {
       runMembership({ kind: 'left' });
--- a/src/node/independent-broker.ts
+++ b/src/node/independent-broker.ts
@@ -5,16 +5,16 @@
 import type { SlotBroker, SlotListener } from './slot-broker-types.js';
 import type { Declarations } from '../types/declarations.js';
 
-interface HeldEndpoint {
+interface HeldSlot {
   readonly endpoint: string;
 }
 
 /** Builds the baseline. */
 export function createIndependentBroker(choice: 'round_robin' | 'least_in_flight'): SlotBroker {
-  const held = new Map<string, HeldEndpoint>();
-  const leaving = new Set<string>();
+  const held = new Map<string, HeldSlot>();
+  const leavingEndpoints = new Set<string>();
   let declarations: Declarations | undefined;
-  let turn = 0;
+  let rotation = 0;
 
   function countInFlight(endpoint: string): number {
     let inFlight = 0;
@@ -24,15 +24,17 @@
 
   function chooseEndpoint(pool: string, excluded: readonly string[]): string | undefined {
     const all = declarations?.pools.get(pool)?.endpoints.map(({ name }) => name) ?? [];
-    const open = all.filter((name) => !leaving.has(name) && !excluded.includes(name));
-    const candidates = open.length > 0 ? open : all;
-    turn += 1;
-    const rotated = candidates.map((_, index) => candidates[(index + turn) % candidates.length]);
+    const available = all.filter((name) => !leavingEndpoints.has(name) && !excluded.includes(name));
+    const candidates = available.length > 0 ? available : all;
+    rotation += 1;
+    const rotated = candidates.map(
+      (_, index) => candidates[(index + rotation) % candidates.length],
+    );
     if (choice === 'round_robin') return rotated[0];
     return rotated.sort((a, b) => countInFlight(a ?? '') - countInFlight(b ?? ''))[0];
   }
 
-  function grantAtOnce(
+  function grantSlot(
     ticketId: string,
     pool: string,
     excluded: readonly string[],
@@ -49,27 +51,27 @@
 
   return {
     request(request, listener) {
-      grantAtOnce(request.ticketId, request.pool, request.excludedEndpoints, listener);
+      grantSlot(request.ticketId, request.pool, request.excludedEndpoints, listener);
     },
     cancel: () => undefined,
     release(ticketId) {
       held.delete(ticketId);
     },
-    update: () => undefined,
+    updateProgress: () => undefined,
     handle: () => undefined,
     setDeclarations(next) {
       declarations = next;
     },
-    setLive: () => undefined,
+    setLiveInstances: () => undefined,
     removeMember: () => undefined,
-    setLeaving(endpoint, isLeaving) {
-      if (isLeaving) leaving.add(endpoint);
-      else leaving.delete(endpoint);
+    setEndpointLeaving(endpoint, isLeaving) {
+      if (isLeaving) leavingEndpoints.add(endpoint);
+      else leavingEndpoints.delete(endpoint);
     },
-    recordSeen: () => undefined,
-    listOwned: () => [],
-    list: () => [],
-    countPending: () => 0,
-    countHeld: () => held.size,
+    recordReachability: () => undefined,
+    listOwnedShards: () => [],
+    listShardViews: () => [],
+    countPendingTickets: () => 0,
+    countHeldSlots: () => held.size,
   };
 }
--- a/src/node/request-runner.ts
+++ b/src/node/request-runner.ts
@@ -23,27 +23,27 @@
 import type { DecisionEvent, RouterEvents } from '../types/router-events.js';
 import { assertNever } from '../utils/assert-never.js';
 import { buildCompletionBody } from './build-completion.js';
-import type { ClaimDesk, HeldClaim } from './claim-desk.js';
+import type { ClaimRunner, HeldClaim } from './claim-runner.js';
 import type { AttemptListener, EndpointClient, ServiceEnding } from './endpoint-client.js';
 import { FAILURE_OF_REFUSAL, MESSAGE_OF_REFUSAL } from './refusal-failures.js';
 import type { SlotBroker } from './slot-broker-types.js';
 
-const LIFE_TICK_MS = 20;
-const SERVICE_TOKENS = 1;
+const STATE_MACHINE_TICK_MS = 20;
+const SERVICE_EXPECTED_TOKENS = 1;
 /** How often a slot's pace is told to the desk, in milliseconds. */
-const PROGRESS_MS = 250;
+const PROGRESS_PERIOD_MS = 250;
 
 /** Settings of a runner. */
 export interface RequestRunnerOptions {
   readonly broker: SlotBroker;
   readonly endpoints: EndpointClient;
-  readonly claims: ClaimDesk;
+  readonly claims: ClaimRunner;
   readonly timers: TimerService;
   readonly invariants: Invariants;
   readonly metrics: Metrics;
   readonly events: Emittery<RouterEvents>;
   /** Whether attempts that stall are moved; off for the bench's baselines. */
-  readonly hasStallChecks: boolean;
+  readonly hasStallDetection: boolean;
   /** Whether endpoints are told a request's tier. */
   readonly hasPriority: boolean;
   /** An endpoint said itself that it is leaving. */
@@ -71,15 +71,15 @@
   cancelAttempt: (() => void) | undefined;
   claim: HeldClaim | undefined;
   /** The answer kept from an earlier run of the same request. */
-  replayed: StoredAnswer | undefined;
-  text: string[];
+  storedAnswer: StoredAnswer | undefined;
+  deltas: string[];
   finishReason: string;
   service: Extract<AnswerEnd, { kind: 'service' }> | undefined;
   lastFrameMs: number | undefined;
 }
 
 /** The platform answered something that cannot be read; nothing was sent. */
-const CLAIM_BROKEN: RequestFailure = {
+const CLAIM_RESPONSE_INVALID: RequestFailure = {
   type: FAILURE.ClaimUnavailable,
   message: 'the platform answered the claim with something unreadable; send the request again',
   outcome: OUTCOME.NotRun,
@@ -90,21 +90,21 @@
 export function createRequestRunner(options: RequestRunnerOptions): RequestRunner {
   const { broker, endpoints, claims, timers, invariants, metrics, events } = options;
   const runs = new Map<string, Run>();
-  const lengths = createLengthEstimator();
-  const paces = new Map<string, LatencyEstimator>();
-  const budgets = new Map<string, RetryBudget>();
+  const lengthEstimator = createLengthEstimator();
+  const latencyEstimators = new Map<string, LatencyEstimator>();
+  const retryBudgets = new Map<string, RetryBudget>();
   const getNow = (): number => timers.clock.monotonicMs();
 
-  function getPace(pool: string): LatencyEstimator {
-    const pace = paces.get(pool) ?? createLatencyEstimator();
-    paces.set(pool, pace);
-    return pace;
+  function getLatencyEstimator(pool: string): LatencyEstimator {
+    const latency = latencyEstimators.get(pool) ?? createLatencyEstimator();
+    latencyEstimators.set(pool, latency);
+    return latency;
   }
 
-  function getBudget(pool: string, className: string): RetryBudget {
+  function getRetryBudget(pool: string, className: string): RetryBudget {
     const key = `${pool}|${className}`;
-    const budget = budgets.get(key) ?? createRetryBudget();
-    budgets.set(key, budget);
+    const budget = retryBudgets.get(key) ?? createRetryBudget();
+    retryBudgets.set(key, budget);
     return budget;
   }
 
@@ -130,7 +130,7 @@
   function buildStoredAnswer(run: Run, frames: number): StoredAnswer {
     if (run.service !== undefined) return run.service;
     const body = JSON.stringify({
-      text: run.text.join(''),
+      text: run.deltas.join(''),
       finishReason: run.finishReason,
       tokens: frames,
     });
@@ -158,29 +158,29 @@
 
   async function runClaim(run: Run): Promise<void> {
     const { request } = run;
-    const ending = await claims.claim({
+    const result = await claims.claim({
       organisation: request.organisation.name,
       idempotencyKey: request.idempotencyKey ?? '',
       attemptId: request.requestId,
       bodyHash: request.bodyHash,
     });
-    const isLate = run.stateMachine.isEnded();
-    switch (ending.kind) {
+    const hasEnded = run.stateMachine.isEnded();
+    switch (result.kind) {
       case 'held':
-        run.claim = ending.claim;
+        run.claim = result.claim;
         // The deadline passed while claiming: the claim is given back, nothing was sent.
-        if (isLate) ending.claim.settle(CLAIM_STATE.Free);
+        if (hasEnded) result.claim.settle(CLAIM_STATE.Free);
         else handleMessage(run, { kind: 'claimed' });
         break;
       case 'replay':
-        run.replayed = ending.answer;
+        run.storedAnswer = result.answer;
         handleMessage(run, { kind: 'replayed' });
         break;
       case 'refused':
-        handleMessage(run, { kind: 'claim_refused', failure: ending.failure });
+        handleMessage(run, { kind: 'claim_refused', failure: result.failure });
         break;
       default:
-        assertNever(ending);
+        assertNever(result);
     }
   }
 
@@ -189,8 +189,8 @@
     const className = request.classDeclaration.name;
     const expected =
       request.work.kind === 'service'
-        ? SERVICE_TOKENS
-        : lengths.predict(className, request.organisation.name);
+        ? SERVICE_EXPECTED_TOKENS
+        : lengthEstimator.predict(className, request.organisation.name);
     broker.request(
       {
         ticketId: command.ticketId,
@@ -231,18 +231,18 @@
     );
   }
 
-  function handleService(
+  function handleServiceResult(
     run: Run,
     attemptId: string,
-    ending: ServiceEnding,
+    result: ServiceEnding,
     endpoint: string,
   ): void {
-    if (ending.kind === 'ended') {
-      if (ending.ending === 'leaving') options.onLeaving(endpoint);
-      handleMessage(run, { kind: 'attempt_ended', attemptId, ending: ending.ending });
+    if (result.kind === 'ended') {
+      if (result.ending === 'leaving') options.onLeaving(endpoint);
+      handleMessage(run, { kind: 'attempt_ended', attemptId, ending: result.ending });
       return;
     }
-    run.service = { kind: 'service', ...ending.answer };
+    run.service = { kind: 'service', ...result.answer };
     handleMessage(run, { kind: 'frame', attemptId, index: 0, text: '' });
     handleMessage(run, { kind: 'finished', attemptId, index: 1 });
   }
@@ -283,7 +283,7 @@
       run.cancelAttempt = endpoints.startService(
         endpoint,
         { attemptId, method, path, headers, body },
-        (ending) => handleService(run, attemptId, ending, endpoint.name),
+        (result) => handleServiceResult(run, attemptId, result, endpoint.name),
       );
       return;
     }
@@ -295,19 +295,19 @@
     );
   }
 
-  function recordFramePace(run: Run): void {
+  function recordFrameGap(run: Run): void {
     const nowMs = getNow();
     if (run.lastFrameMs !== undefined) {
-      getPace(run.request.pool.name).recordGap(nowMs - run.lastFrameMs);
+      getLatencyEstimator(run.request.pool.name).recordGap(nowMs - run.lastFrameMs);
     }
     run.lastFrameMs = nowMs;
   }
 
   function runRelease(run: Run, command: Extract<RequestCommand, { kind: 'release' }>): void {
-    const { kind, ticketId, endpoint, firstFrameMs, ...use } = command;
-    if (firstFrameMs > 0) getPace(run.request.pool.name).recordFirstFrame(firstFrameMs);
-    if (use.ending === SlotEnding.STALLED) recordDecision(run, 'stalled', { endpoint });
-    broker.release(ticketId, { ...use, firstTokenMs: firstFrameMs });
+    const { kind, ticketId, endpoint, firstFrameMs, ...usage } = command;
+    if (firstFrameMs > 0) getLatencyEstimator(run.request.pool.name).recordFirstFrame(firstFrameMs);
+    if (usage.ending === SlotEnding.STALLED) recordDecision(run, 'stalled', { endpoint });
+    broker.release(ticketId, { ...usage, firstTokenMs: firstFrameMs });
   }
 
   function runComplete(run: Run, frames: number): void {
@@ -315,9 +315,9 @@
     const className = request.classDeclaration.name;
     runs.delete(request.requestId);
     run.claim?.settle(CLAIM_STATE.Done, buildStoredAnswer(run, frames));
-    getBudget(request.pool.name, className).recordSuccess();
+    getRetryBudget(request.pool.name, className).recordSuccess();
     if (request.work.kind === 'completion') {
-      lengths.record(className, request.organisation.name, frames);
+      lengthEstimator.record(className, request.organisation.name, frames);
     }
     metrics.count(METRIC.RequestsCompleted, 1, { class: className });
     metrics.count(METRIC.TokensDelivered, frames);
@@ -350,7 +350,7 @@
     switch (command.kind) {
       case 'claim':
         runClaim(run).catch(() => {
-          handleMessage(run, { kind: 'claim_refused', failure: CLAIM_BROKEN });
+          handleMessage(run, { kind: 'claim_refused', failure: CLAIM_RESPONSE_INVALID });
         });
         break;
       case 'acquire':
@@ -370,15 +370,15 @@
         runRelease(run, command);
         break;
       case 'deliver':
-        recordFramePace(run);
-        run.text.push(command.text);
+        recordFrameGap(run);
+        run.deltas.push(command.text);
         run.sink.onDelta(command.text);
         break;
       case 'drop_frame':
         metrics.count(METRIC.FramesDropped, 1, { reason: command.reason });
         break;
       case 'replay':
-        if (run.replayed !== undefined) sendReplay(run, run.replayed);
+        if (run.storedAnswer !== undefined) sendReplay(run, run.storedAnswer);
         break;
       case 'complete':
         runComplete(run, command.frames);
@@ -395,35 +395,35 @@
     for (const command of run.stateMachine.handle(message, getNow())) runCommand(run, command);
   }
 
-  let tickedMs = getNow();
-  timers.subscribe(LIFE_TICK_MS, () => {
+  let lastTickMs = getNow();
+  timers.subscribe(STATE_MACHINE_TICK_MS, () => {
     const nowMs = getNow();
-    const lateMs = Math.max(0, nowMs - tickedMs - LIFE_TICK_MS);
-    tickedMs = nowMs;
+    const lateMs = Math.max(0, nowMs - lastTickMs - STATE_MACHINE_TICK_MS);
+    lastTickMs = nowMs;
     for (const run of runs.values()) handleMessage(run, { kind: 'tick', lateMs });
   });
-  timers.subscribe(PROGRESS_MS, () => {
+  timers.subscribe(PROGRESS_PERIOD_MS, () => {
     for (const run of runs.values()) {
       const progress = run.stateMachine.getProgress();
       if (progress !== undefined) {
-        broker.update(progress.ticketId, progress.tokens, progress.stepMs);
+        broker.updateProgress(progress.ticketId, progress.tokens, progress.stepMs);
       }
     }
   });
 
   return {
     run(request, sink) {
-      const pace = getPace(request.pool.name);
-      const budget = getBudget(request.pool.name, request.classDeclaration.name);
-      const isUnbounded = request.work.kind === 'service' || !options.hasStallChecks;
+      const latency = getLatencyEstimator(request.pool.name);
+      const budget = getRetryBudget(request.pool.name, request.classDeclaration.name);
+      const isUntimed = request.work.kind === 'service' || !options.hasStallDetection;
       const stateMachine = createRequestStateMachine({
         requestId: request.requestId,
         repeatability: request.repeatability,
         deadlineMs: request.deadlineMs,
         invariants,
         // A plain service answers in one piece of unknown length: only its deadline bounds it.
-        getFirstFrameTimeoutMs: () => (isUnbounded ? Infinity : pace.computeFirstFrameTimeout()),
-        getFrameGapTimeoutMs: () => (isUnbounded ? Infinity : pace.computeGapTimeout()),
+        getFirstFrameTimeoutMs: () => (isUntimed ? Infinity : latency.computeFirstFrameTimeout()),
+        getFrameGapTimeoutMs: () => (isUntimed ? Infinity : latency.computeGapTimeout()),
         takeRetry: () => budget.take(),
         takeClaim: () => run.claim?.take() === true,
       });
@@ -434,8 +434,8 @@
         startedMs: getNow(),
         cancelAttempt: undefined,
         claim: undefined,
-        replayed: undefined,
-        text: [],
+        storedAnswer: undefined,
+        deltas: [],
         finishReason: 'stop',
         service: undefined,
         lastFrameMs: undefined,
--- a/src/node/router-core.ts
+++ b/src/node/router-core.ts
@@ -30,7 +30,7 @@
 import type { Random } from '../utils/random.js';
 import { createAuthenticator } from './authenticator.js';
 import type { Authenticator } from './authenticator.js';
-import { createClaimDesk } from './claim-desk.js';
+import { createClaimRunner } from './claim-runner.js';
 import { createConfigurationRunner } from './configuration-runner.js';
 import { createControlRunner } from './control-runner.js';
 import type { EndpointClient } from './endpoint-client.js';
@@ -105,7 +105,7 @@
     seeds: options.seeds,
     isLeaving: () => drain.getStage() === STAGE.Leaving || drain.getStage() === STAGE.Drained,
     send: (address, body) => links.send(address, body),
-    onChanged: handleChanged,
+    onChanged: handleFactChanged,
   });
 
   function createBroker(): SlotBroker {
@@ -125,7 +125,7 @@
   }
 
   const broker = createBroker();
-  const claims = createClaimDesk({
+  const claims = createClaimRunner({
     self: self.name,
     table,
     timers,
@@ -141,9 +141,9 @@
     invariants,
     metrics,
     events,
-    hasStallChecks: policy.kind !== 'independent',
+    hasStallDetection: policy.kind !== 'independent',
     hasPriority: policy.kind !== 'independent' || policy.hasPriority,
-    onLeaving: (endpoint) => fleet.recordEndpoint(endpoint, true),
+    onLeaving: (endpoint) => fleet.recordEndpointState(endpoint, true),
   });
   const configuration = createConfigurationRunner({
     store: options.store,
@@ -165,14 +165,14 @@
     timers,
     metrics,
     logger,
-    listOwned: () => broker.listOwned(),
+    listOwnedShards: () => broker.listOwnedShards(),
     getDeclarations: () => declarations,
-    onEndpointState: (endpoint, isLeaving) => fleet.recordEndpoint(endpoint, isLeaving),
-    onSeen: (endpoint, isReachable) => broker.recordSeen(endpoint, isReachable),
+    onEndpointState: (endpoint, isLeaving) => fleet.recordEndpointState(endpoint, isLeaving),
+    onReachability: (endpoint, isReachable) => broker.recordReachability(endpoint, isReachable),
   });
 
-  async function queryAttempt(entry: string, attemptId: string): Promise<AttemptVerdict> {
-    const address = fleet.findAddress(entry);
+  async function queryAttempt(instance: string, attemptId: string): Promise<AttemptVerdict> {
+    const address = fleet.findAddress(instance);
     if (address === undefined) return 'unknown';
     try {
       return await links.queryAttempt(address, attemptId);
@@ -190,32 +190,34 @@
     events.emit('configuration', { version: next.version });
   }
 
-  function updateLive(): void {
+  function updateLiveInstances(): void {
     const live = fleet.listAlive();
-    broker.setLive(live.map((fact) => ({ name: fact.subject, dataCentre: fact.dataCentre })));
+    broker.setLiveInstances(
+      live.map((fact) => ({ name: fact.subject, dataCentre: fact.dataCentre })),
+    );
     metrics.set(METRIC.MembersAlive, live.length);
   }
 
-  function handleMember(fact: Fact, before: Fact | undefined): void {
-    if (before?.state !== fact.state) updateLive();
+  function handleMemberChanged(fact: Fact, before: Fact | undefined): void {
+    if (before?.state !== fact.state) updateLiveInstances();
     if (!isPresent(fact)) {
       broker.removeMember(fact.subject);
     } else if (fact.subject !== self.name) {
-      const isNews = fact.configurationVersion > configuration.getVersion();
-      if (isNews) configuration.handle(fact.subject, fact.configurationVersion);
+      const isNewer = fact.configurationVersion > configuration.getVersion();
+      if (isNewer) configuration.handle(fact.subject, fact.configurationVersion);
     }
   }
 
-  function handleChanged(fact: Fact, before: Fact | undefined): void {
-    if (fact.kind === FactKind.MEMBER) handleMember(fact, before);
-    else broker.setLeaving(fact.subject, fact.state === FactState.LEAVING);
+  function handleFactChanged(fact: Fact, before: Fact | undefined): void {
+    if (fact.kind === FactKind.MEMBER) handleMemberChanged(fact, before);
+    else broker.setEndpointLeaving(fact.subject, fact.state === FactState.LEAVING);
     if (before?.state === fact.state) return;
     const state = FactState[fact.state];
     logger.info('member changed', { subject: fact.subject, state });
     events.emit('member', { subject: fact.subject, state });
   }
 
-  function handleBody(from: string, body: PeerBody): void {
+  function handleMessage(from: string, body: PeerBody): void {
     switch (body.case) {
       case 'ping':
       case 'pingRequest':
@@ -274,19 +276,19 @@
       stage: drain.getStage(),
       configurationVersion: configuration.getVersion(),
       requestsInFlight: runner.count(),
-      ticketsWaiting: broker.countPending(),
-      slotsHeld: broker.countHeld(),
+      ticketsWaiting: broker.countPendingTickets(),
+      slotsHeld: broker.countHeldSlots(),
       members: fleet.listStatus(),
       leavingEndpoints: fleet.listLeavingEndpoints(),
-      shards: broker.list(),
-      leases: control.listLeased(),
+      shards: broker.listShardViews(),
+      leases: control.listLeasedShards(),
       invariantBreaches: invariants.count(),
       breaches: invariants.list(),
     }),
     leave: () => runDrain({ kind: 'leave' }),
     recordUnreachable: (address) => fleet.recordUnreachable(address),
     handleBodies(from, bodies) {
-      for (const body of bodies) if (body.case !== undefined) handleBody(from, body);
+      for (const body of bodies) if (body.case !== undefined) handleMessage(from, body);
     },
     buildConfigurationResponse: (hashes) => configuration.buildResponse(hashes),
     getAttemptVerdict: (attemptId) => claims.getVerdict(attemptId),
--- a/src/node/router.ts
+++ b/src/node/router.ts
@@ -25,7 +25,7 @@
 import { createRandom } from '../utils/random.js';
 import { buildErrorBody } from './answer-writers.js';
 import { createCallerApi } from './caller-api.js';
-import { createNotRun } from './check-request.js';
+import { createNotRunFailure } from './check-request.js';
 import { createEndpointClient } from './endpoint-client.js';
 import { createRouterCore } from './router-core.js';
 import type { RouterCore } from './router-core.js';
@@ -82,8 +82,11 @@
   }
   const isTooLarge = error.code === 'HPE_HEADER_OVERFLOW';
   const failure = isTooLarge
-    ? createNotRun(FAILURE.HeadersTooLarge, `headers exceed ${HEADER_BYTES_MAX} bytes; send fewer`)
-    : createNotRun(FAILURE.BadRequest, 'not a valid HTTP request; correct the client');
+    ? createNotRunFailure(
+        FAILURE.HeadersTooLarge,
+        `headers exceed ${HEADER_BYTES_MAX} bytes; send fewer`,
+      )
+    : createNotRunFailure(FAILURE.BadRequest, 'not a valid HTTP request; correct the client');
   const body = JSON.stringify(buildErrorBody(failure, 'none'));
   const status = STATUS_OF_FAILURE[failure.type];
   socket.end(
--- a/src/node/slot-broker-types.ts
+++ b/src/node/slot-broker-types.ts
@@ -33,17 +33,17 @@
   request(request: SlotRequest, listener: SlotListener): void;
   cancel(ticketId: string): void;
   release(ticketId: string, use: SlotUse): void;
-  update(ticketId: string, tokens: number, stepMs: number): void;
+  updateProgress(ticketId: string, tokens: number, stepMs: number): void;
   handle(from: string, body: AdmissionBody): void;
   setDeclarations(declarations: Declarations): void;
-  setLive(entries: readonly LiveInstance[]): void;
+  setLiveInstances(instances: readonly LiveInstance[]): void;
   removeMember(member: string): void;
-  setLeaving(endpoint: string, isLeaving: boolean): void;
+  setEndpointLeaving(endpoint: string, isLeaving: boolean): void;
   /** What looking at an endpoint brought. */
-  recordSeen(endpoint: string, isReachable: boolean): void;
+  recordReachability(endpoint: string, isReachable: boolean): void;
   /** Shards this entry owns now. */
-  listOwned(): readonly Shard[];
-  list(): ShardView[];
-  countPending(): number;
-  countHeld(): number;
+  listOwnedShards(): readonly Shard[];
+  listShardViews(): ShardView[];
+  countPendingTickets(): number;
+  countHeldSlots(): number;
 }
--- a/src/node/slot-broker.ts
+++ b/src/node/slot-broker.ts
@@ -22,9 +22,9 @@
 import type { Random } from '../utils/random.js';
 import type { AdmissionBody, SlotBroker, SlotListener } from './slot-broker-types.js';
 
-const DESK_TICK_MS = 5;
+const CLIENT_TICK_MS = 5;
 const OWNER_TICK_MS = 25;
-const REPORT_MS = 500;
+const REPORT_PERIOD_MS = 500;
 /** A new owner waits this long for entries to say what they hold, in milliseconds. */
 const TAKEOVER_GRACE_MS = 250;
 
@@ -42,20 +42,20 @@
 /** Builds a broker without a configuration. */
 export function createSlotBroker(options: SlotBrokerOptions): SlotBroker {
   const { self, timers, random, invariants, metrics } = options;
-  const desk = createTicketClient(random);
+  const ticketClient = createTicketClient(random);
   const owners = new Map<string, ShardOwner>();
   const listeners = new Map<string, SlotListener>();
-  const leaving = new Set<string>();
+  const leavingEndpoints = new Set<string>();
   let declarations: Declarations | undefined;
-  let live: readonly LiveInstance[] = [self];
+  let liveInstances: readonly LiveInstance[] = [self];
   let shards: readonly Shard[] = [];
-  let hasOwnedBefore = false;
+  let hasBuiltShards = false;
 
   const getNow = (): number => timers.clock.monotonicMs();
 
   function sendAll(messages: readonly AddressedMessage[]): void {
     for (const message of messages) {
-      if (message.to === self.name) applyBody(self.name, message.body as AdmissionBody);
+      if (message.to === self.name) handleBody(self.name, message.body as AdmissionBody);
       else options.send(message);
     }
   }
@@ -89,11 +89,11 @@
     }
   }
 
-  function runDesk(message: TicketClientMessage): void {
-    for (const command of desk.handle(message, getNow())) applyCommand(command);
+  function runTicketClient(message: TicketClientMessage): void {
+    for (const command of ticketClient.handle(message, getNow())) applyCommand(command);
   }
 
-  function applyBody(from: string, body: AdmissionBody): void {
+  function handleBody(from: string, body: AdmissionBody): void {
     switch (body.case) {
       case 'postTicket':
         runOwner(body.value.shard, { kind: 'post', from, ticket: body.value });
@@ -109,16 +109,16 @@
         break;
       case 'grantSlot': {
         const { ticketId, shard, endpoint, floor } = body.value;
-        runDesk({ kind: 'granted', grant: { ticketId, shard, endpoint, isFloor: floor } });
+        runTicketClient({ kind: 'granted', grant: { ticketId, shard, endpoint, isFloor: floor } });
         break;
       }
       case 'refuseTicket': {
         const { ticketId, shard, reason, retryAfterMs } = body.value;
-        runDesk({ kind: 'refused', ticketId, shard, reason, retryAfterMs });
+        runTicketClient({ kind: 'refused', ticketId, shard, reason, retryAfterMs });
         break;
       }
       case 'preemptSlot':
-        runDesk({ kind: 'preempt', ticketId: body.value.ticketId });
+        runTicketClient({ kind: 'preempt', ticketId: body.value.ticketId });
         break;
       default:
         assertNever(body);
@@ -130,28 +130,28 @@
       shard: shard.name,
       random,
       invariants,
-      grantsFromMs: hasOwnedBefore ? getNow() + TAKEOVER_GRACE_MS : 0,
+      grantsFromMs: hasBuiltShards ? getNow() + TAKEOVER_GRACE_MS : 0,
       ...(options.policy.kind === 'owners' ? options.policy : {}),
     });
   }
 
   /** The baseline of even shares: every entry owns every shard, with its part of the slots. */
-  function listShards(current: Declarations): readonly Shard[] {
-    const all = buildShards(current, live);
+  function buildPolicyShards(current: Declarations): readonly Shard[] {
+    const all = buildShards(current, liveInstances);
     if (options.policy.kind === 'owners') return all;
     return all.map((shard) => ({
       ...shard,
       owner: self.name,
       endpoints: shard.endpoints.map((endpoint) => ({
         ...endpoint,
-        slots: Math.max(1, Math.floor(endpoint.slots / live.length)),
+        slots: Math.max(1, Math.floor(endpoint.slots / liveInstances.length)),
       })),
     }));
   }
 
   /** Data centres of a shard that have no live entry in sight. */
-  function listCutOff(shard: Shard): ReadonlySet<string> {
-    const seen = new Set(live.map((entry) => entry.dataCentre));
+  function listUnreachableDataCentres(shard: Shard): ReadonlySet<string> {
+    const seen = new Set(liveInstances.map((instance) => instance.dataCentre));
     const declared = shard.endpoints.map((endpoint) => endpoint.dataCentre);
     return new Set(declared.filter((dataCentre) => !seen.has(dataCentre)));
   }
@@ -159,7 +159,7 @@
   function updateShards(): void {
     if (declarations === undefined) return;
     const current = declarations;
-    shards = listShards(current);
+    shards = buildPolicyShards(current);
     const owned = shards.filter((shard) => shard.owner === self.name);
     const names = new Set(owned.map((shard) => shard.name));
     for (const name of owners.keys()) if (!names.has(name)) owners.delete(name);
@@ -171,69 +171,69 @@
         weights: (organisation) => current.organisations.get(organisation)?.weight ?? 1,
         endpoints: shard.endpoints,
       });
-      runOwner(shard.name, { kind: 'cut_off', dataCentres: listCutOff(shard) });
-      for (const endpoint of leaving) {
+      runOwner(shard.name, { kind: 'cut_off', dataCentres: listUnreachableDataCentres(shard) });
+      for (const endpoint of leavingEndpoints) {
         runOwner(shard.name, { kind: 'endpoint_leaving', endpoint, isLeaving: true });
       }
     }
-    hasOwnedBefore = true;
-    runDesk({ kind: 'routes', routes: buildShardRoutes(shards) });
+    hasBuiltShards = true;
+    runTicketClient({ kind: 'routes', routes: buildShardRoutes(shards) });
   }
 
-  timers.subscribe(DESK_TICK_MS, () => {
-    if (desk.countPending() > 0) runDesk({ kind: 'tick' });
+  timers.subscribe(CLIENT_TICK_MS, () => {
+    if (ticketClient.countPending() > 0) runTicketClient({ kind: 'tick' });
   });
   timers.subscribe(OWNER_TICK_MS, () => {
     for (const shard of owners.keys()) runOwner(shard, { kind: 'tick' });
   });
-  timers.subscribe(REPORT_MS, () => {
-    runDesk({ kind: 'report' });
-    metrics.set(METRIC.TicketsWaiting, desk.countPending());
+  timers.subscribe(REPORT_PERIOD_MS, () => {
+    runTicketClient({ kind: 'report' });
+    metrics.set(METRIC.TicketsWaiting, ticketClient.countPending());
   });
 
   return {
     request(request, listener) {
       listeners.set(request.ticketId, listener);
-      runDesk({ kind: 'request', request });
+      runTicketClient({ kind: 'request', request });
     },
     cancel(ticketId) {
       listeners.delete(ticketId);
-      runDesk({ kind: 'cancel', ticketId });
+      runTicketClient({ kind: 'cancel', ticketId });
     },
     release(ticketId, use) {
       listeners.delete(ticketId);
-      runDesk({ kind: 'release', ticketId, use });
+      runTicketClient({ kind: 'release', ticketId, use });
     },
-    update(ticketId, tokens, stepMs) {
-      runDesk({ kind: 'progress', ticketId, tokens, stepMs });
+    updateProgress(ticketId, tokens, stepMs) {
+      runTicketClient({ kind: 'progress', ticketId, tokens, stepMs });
     },
-    handle: applyBody,
+    handle: handleBody,
     setDeclarations(next) {
       declarations = next;
       updateShards();
     },
-    setLive(entries) {
-      live = entries;
+    setLiveInstances(instances) {
+      liveInstances = instances;
       updateShards();
     },
     removeMember(member) {
       for (const shard of owners.keys()) runOwner(shard, { kind: 'member_gone', member });
     },
-    setLeaving(endpoint, isLeaving) {
-      if (isLeaving) leaving.add(endpoint);
-      else leaving.delete(endpoint);
+    setEndpointLeaving(endpoint, isLeaving) {
+      if (isLeaving) leavingEndpoints.add(endpoint);
+      else leavingEndpoints.delete(endpoint);
       for (const shard of owners.keys()) {
         runOwner(shard, { kind: 'endpoint_leaving', endpoint, isLeaving });
       }
     },
-    recordSeen(endpoint, isReachable) {
+    recordReachability(endpoint, isReachable) {
       for (const shard of owners.keys()) {
         runOwner(shard, { kind: 'endpoint_seen', endpoint, isReachable });
       }
     },
-    listOwned: () => shards.filter((shard) => shard.owner === self.name),
-    list: () => [...owners.values()].map((owner) => owner.getView()),
-    countPending: () => desk.countPending(),
-    countHeld: () => desk.countHeld(),
+    listOwnedShards: () => shards.filter((shard) => shard.owner === self.name),
+    listShardViews: () => [...owners.values()].map((owner) => owner.getView()),
+    countPendingTickets: () => ticketClient.countPending(),
+    countHeldSlots: () => ticketClient.countHeld(),
   };
 }
