--- a/src/node/answer-writers.ts
+++ b/src/node/answer-writers.ts
@@ -1,20 +1,19 @@
-/** Writes answers to callers: streamed frames, one JSON body, or a plain service's answer. */
+/** Writes answers to callers: event streams, JSON bodies and responses of plain services. */
 import type { Response } from 'express';
 import type { AnswerEnd, AnswerSink } from '../requests/routed-request.js';
 import type { RequestFailure } from '../types/outcomes.js';
 import { STATUS_OF_FAILURE } from '../types/outcomes.js';
 
-/** Bytes a slow caller may leave unread before it counts as gone. */
+/** Unread bytes after which a slow caller is disconnected. */
 export const UNREAD_BYTES_MAX = 1024 * 1024;
 
-/** The JSON object of a failure. */
 export function buildErrorBody(failure: RequestFailure, requestId: string): object {
   const { type, message, outcome, retryAfterMs } = failure;
   const retry = retryAfterMs === undefined ? {} : { retry_after_ms: retryAfterMs };
   return { error: { type, message, outcome, ...retry, request_id: requestId } };
 }
 
-/** Answers with a failure before anything else was written. */
+/** Sends a failure; does nothing if the response has already started or its connection is closed. */
 export function sendFailure(response: Response, failure: RequestFailure, requestId: string): void {
   if (response.headersSent || response.destroyed) return;
   if (failure.retryAfterMs !== undefined) {
@@ -23,17 +22,16 @@
   response.status(STATUS_OF_FAILURE[failure.type]).json(buildErrorBody(failure, requestId));
 }
 
-/** Settings of a completion's writer. */
 export interface CompletionWriterOptions {
   readonly response: Response;
   readonly requestId: string;
   readonly model: string;
   readonly createdSeconds: number;
-  /** The caller does not read: nothing more is kept for it. */
+  /** Called when more than `UNREAD_BYTES_MAX` is waiting to be read. */
   readonly onSlowReader: () => void;
 }
 
-/** Streams a completion as server-sent events; `[DONE]` only after a whole answer. */
+/** Streams a completion as server-sent events; sends `[DONE]` only after a complete answer. */
 export function createStreamWriter(options: CompletionWriterOptions): AnswerSink {
   const { response, requestId, model, createdSeconds } = options;
   const chunkFields = {
@@ -79,7 +77,7 @@
   };
 }
 
-/** Collects a completion and answers with one JSON body. */
+/** Sends a completion as one JSON body. */
 export function createJsonWriter(options: CompletionWriterOptions): AnswerSink {
   const { response, requestId, model, createdSeconds } = options;
   const deltas: string[] = [];
@@ -115,7 +113,7 @@
   };
 }
 
-/** Passes a plain service's answer on. */
+/** Forwards the response of a plain service. */
 export function createServiceWriter(response: Response, requestId: string): AnswerSink {
   return {
     onDelta: () => undefined,
--- a/src/node/authenticator.ts
+++ b/src/node/authenticator.ts
@@ -1,8 +1,8 @@
-/** Finds the organisation that a key names. Only hashes are kept, compared in constant time. */
+/** Finds the organisation of an API key. Stores only hashes and compares them in constant time. */
 import type { Declarations, OrganisationDeclaration } from '../types/declarations.js';
 import { hashText, isSameDigest } from '../utils/hash.js';
 
-/** Hex digits of a hash that choose its bucket; the rest is compared in constant time. */
+/** Leading hex digits of a hash that select its bucket. */
 const BUCKET_DIGITS = 8;
 
 interface KnownKey {
@@ -10,14 +10,12 @@
   readonly organisation: OrganisationDeclaration;
 }
 
-/** Maps keys to organisations. */
 export interface Authenticator {
   set(declarations: Declarations): void;
   /** The organisation of an `Authorization` header, or undefined. */
   find(authorization: string | undefined): OrganisationDeclaration | undefined;
 }
 
-/** Builds an authenticator that knows nobody. */
 export function createAuthenticator(): Authenticator {
   let buckets = new Map<string, KnownKey[]>();
   return {
--- a/src/node/build-completion.ts
+++ b/src/node/build-completion.ts
@@ -1,11 +1,11 @@
-/** Builds the body of a completion for an endpoint, also for one that goes on where another broke. */
+/** Builds completion request bodies for endpoints, including resumed completions. */
 import type { Work } from '../requests/routed-request.js';
 
 type CompletionWork = Extract<Work, { kind: 'completion' }>;
 
 /**
- * The body to send. With text delivered already, the published `continue_final_message` field asks
- * the endpoint to go on after it; `priority` orders the endpoint's own queue.
+ * Builds the body. After text has been delivered, `continue_final_message` makes the endpoint continue
+ * it; `priority` orders the queue of the endpoint.
  */
 export function buildCompletionBody(
   work: CompletionWork,
--- a/src/node/caller-api.ts
+++ b/src/node/caller-api.ts
@@ -1,4 +1,4 @@
-/** The callers' interface over HTTP, by express. */
+/** The HTTP API for callers. */
 import { randomUUID } from 'node:crypto';
 import express from 'express';
 import type { ErrorRequestHandler, Express, Request, RequestHandler, Response } from 'express';
@@ -32,14 +32,13 @@
 import type { CompletionBody, RequestOptions, RoutingHeaders } from './check-request.js';
 import type { RequestRunner, RunningRequest } from './request-runner.js';
 
-/** Characters of a prompt that count as its prefix. */
+/** Length of the prompt prefix that is hashed. */
 const PREFIX_CHARACTERS = 256;
 const NOT_READY_RETRY_MS = 1000;
 const IDEMPOTENT_METHODS = ['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'];
 const FORWARDED_HEADERS = ['content-type', 'accept', 'idempotency-key'] as const;
 const SERVICE_PATH = /^\/services\/([^/?]+)(\/[^?]*)?(\?.*)?$/;
 
-/** Settings of the callers' interface. */
 export interface CallerApiOptions {
   readonly runner: RequestRunner;
   readonly authenticator: Authenticator;
@@ -80,7 +79,6 @@
   return hashName(`${organisation}|${body.model}|${text.slice(0, PREFIX_CHARACTERS)}`);
 }
 
-/** The failure of a body that could not be read. */
 function buildBodyFailure(error: unknown, maxBodyBytes: number): RequestFailure {
   const { type } = error as { type?: string };
   if (type === 'entity.too.large') {
@@ -92,7 +90,6 @@
   return createNotRunFailure(FAILURE.BadRequest, 'the body is not valid JSON; correct it');
 }
 
-/** Builds the application. */
 export function createCallerApi(options: CallerApiOptions): Express {
   const { runner, authenticator, limiter, timers, maxBodyBytes } = options;
   const app = express();
@@ -133,7 +130,7 @@
     return response.locals.caller as CallerContext;
   }
 
-  /** Admits a request under its organisation's limits, or answers the refusal. */
+  /** Counts a request against its organisation's limits; at a limit, sends the failure and returns false. */
   function takeAdmission(caller: CallerContext, response: Response): boolean {
     const nowMs = timers.clock.monotonicMs();
     const admission = limiter.take(caller.organisation, options.getPeerDemand(), nowMs);
@@ -219,7 +216,7 @@
       requestId,
       model: body.val.model,
       createdSeconds: Math.floor(timers.clock.wallMs() / 1000),
-      // Guards against callers that stop reading: their answers would pile up in memory.
+      // Protects against callers that stop reading, whose answers would accumulate in memory.
       onSlowReader: () => {
         running?.close();
         response.destroy();
--- a/src/node/check-request.ts
+++ b/src/node/check-request.ts
@@ -1,4 +1,4 @@
-/** Checks what a caller sent, each fault with its remedy. */
+/** Validates requests of callers; error messages say how to correct the request. */
 import { z } from 'zod';
 import { REPEATABILITY } from '../requests/request-messages.js';
 import type { Repeatability } from '../requests/request-messages.js';
@@ -31,7 +31,7 @@
 
 export type CompletionBody = z.infer<typeof completionSchema>;
 
-/** Headers that shape a request, as sent. */
+/** Headers that control how a request is routed, as sent by the caller. */
 export interface RoutingHeaders {
   readonly className: string | undefined;
   readonly repeatable: string | undefined;
@@ -39,7 +39,7 @@
   readonly deadlineMs: string | undefined;
 }
 
-/** How a request is to be treated. */
+/** Validated routing options of a request. */
 export interface RequestOptions {
   readonly classDeclaration: ClassDeclaration;
   readonly repeatability: Repeatability;
@@ -47,7 +47,6 @@
   readonly timeoutMs: number;
 }
 
-/** A failure of a request that was not run. */
 export function createNotRunFailure(
   type: Failure,
   message: string,
@@ -57,7 +56,6 @@
   return retryAfterMs === undefined ? failure : { ...failure, retryAfterMs };
 }
 
-/** Checks a completion's body. */
 export function parseCompletionBody(body: unknown): Result<CompletionBody, RequestFailure> {
   const parsed = completionSchema.safeParse(body);
   if (parsed.success) return Ok(parsed.data);
@@ -87,7 +85,6 @@
   );
 }
 
-/** `isSafeMethod` tells a call that may be repeated by its very method. */
 function resolveRepeatability(
   headers: RoutingHeaders,
   isIdempotentMethod: boolean,
@@ -131,7 +128,6 @@
   );
 }
 
-/** Resolves the headers that shape a request. */
 export function resolveRequestOptions(
   declarations: Declarations,
   organisation: OrganisationDeclaration,
@@ -152,7 +148,6 @@
   });
 }
 
-/** The pool that serves a model to an organisation. */
 export function findModelPool(
   declarations: Declarations,
   organisation: OrganisationDeclaration,
@@ -170,7 +165,6 @@
   );
 }
 
-/** The service pool of a path. */
 export function findServicePool(
   declarations: Declarations,
   organisation: OrganisationDeclaration,
@@ -187,7 +181,6 @@
   );
 }
 
-/** Models that an organisation may use. */
 export function listModels(
   declarations: Declarations,
   organisation: OrganisationDeclaration,
--- a/src/node/claim-runner.ts
+++ b/src/node/claim-runner.ts
@@ -1,4 +1,7 @@
-/** Runs claims against the platform's table and answers other entries about attempts here. */
+/**
+ * Claims once-only requests in the platform's table and answers other instances' queries about
+ * attempts of this instance.
+ */
 import { ATTEMPT_STATE, createAttemptLedger } from '../claims/attempt-ledger.js';
 import { createClaim } from '../claims/claim.js';
 import type {
@@ -25,21 +28,19 @@
 const SETTLE_RETRY_DELAY_MS = 500;
 const WRITE_BUDGET_RETRY_MS = 1000;
 
-/** A claim this entry holds. */
+/** A claim held by this instance. */
 export interface HeldClaim {
-  /** The last look before sending: fresh by both clocks, and not abandoned. */
+  /** Marks the attempt as sent; false if the claim has expired or the attempt was abandoned. */
   take(): boolean;
-  /** Records how the request ended. */
+  /** Stores the outcome of the request. */
   settle(state: ClaimState, answer?: StoredAnswer): void;
 }
 
-/** How claiming ended. */
 export type ClaimResult =
   | { readonly kind: 'held'; readonly claim: HeldClaim }
   | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | { readonly kind: 'refused'; readonly failure: RequestFailure };
 
-/** What is claimed. */
 export interface ClaimRequest {
   readonly organisation: string;
   readonly idempotencyKey: string;
@@ -47,21 +48,19 @@
   readonly bodyHash: string;
 }
 
-/** Settings of a claim desk. */
 export interface ClaimRunnerOptions {
   readonly self: string;
   readonly table: TableClient;
   readonly timers: TimerService;
   readonly metrics: Metrics;
   readonly writesPerSecond: number;
-  /** Asks another entry; `unknown` when it does not answer. */
+  /** Queries another instance; `unknown` if it does not answer. */
   readonly queryAttempt: (entry: string, attemptId: string) => Promise<AttemptVerdict>;
 }
 
-/** Claims of one entry. */
 export interface ClaimRunner {
   claim(request: ClaimRequest): Promise<ClaimResult>;
-  /** What this entry tells others of an attempt. */
+  /** The state of an attempt, as reported to other instances. */
   getVerdict(attemptId: string): AttemptVerdict;
 }
 
@@ -79,7 +78,6 @@
   }
 }
 
-/** Builds a desk that holds nothing. */
 export function createClaimRunner(options: ClaimRunnerOptions): ClaimRunner {
   const { self, table, timers, metrics, writesPerSecond } = options;
   const { clock } = timers;
@@ -87,7 +85,7 @@
   let availableWrites = writesPerSecond;
   let refilledMs = clock.monotonicMs();
 
-  /** Keeps this entry's part of the platform's writes; a claim costs two. */
+  /** Takes the two writes of a claim from this instance's write budget; false if it is used up. */
   function takeWriteBudget(): boolean {
     const nowMs = clock.monotonicMs();
     const refill = ((nowMs - refilledMs) / 1000) * writesPerSecond;
@@ -166,12 +164,14 @@
   ): Promise<void> {
     for (let tries = 0; tries < SETTLE_WRITE_TRIES; tries += 1) {
       metrics.count(METRIC.ClaimsWritten);
+      // Retries run one after the other.
       // eslint-disable-next-line no-await-in-loop
       const written = await table.transact([
         { kind: 'replace', key, document, expectedVersion: version },
       ]);
-      // A conflict after a lost answer is our own earlier write; nobody else may write here.
+      // A conflict means that an earlier write succeeded but its response was lost.
       if (written.ok || written.val.kind === PLATFORM_FAILURE.Conflict) return;
+      // Waits between retries.
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
         timers.subscribeOnce(SETTLE_RETRY_DELAY_MS, resolve);
@@ -227,13 +227,14 @@
       let message = await runCommand(key, command);
       while (message !== undefined) {
         command = claim.handle(message);
+        // Each command depends on the result of the one before.
         // eslint-disable-next-line no-await-in-loop
         message = await runCommand(key, command);
       }
       if (command.kind === 'proceed') {
         return { kind: 'held', claim: createHeldClaim(claim, key, command.version, attemptId) };
       }
-      // From here on this attempt can never be sent; whoever asks may rely on it.
+      // Marks the attempt as abandoned, so that it can never be sent.
       ledger.remove(attemptId);
       if (command.kind === 'replay') return { kind: 'replay', answer: command.answer };
       if (command.kind === 'refuse') {
--- a/src/node/configuration-runner.ts
+++ b/src/node/configuration-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out what the configuration keeper asks for: polls, fetches, applying. */
+/** Executes the commands of the configuration keeper: polls, fetches and applies configurations. */
 import { createConfigurationKeeper, PLATFORM_SOURCE } from '../configuration/keeper.js';
 import type { KeeperCommand, KeeperMessage } from '../configuration/keeper.js';
 import { parseManifest } from '../configuration/manifest.js';
@@ -13,28 +13,25 @@
 import { assertNever } from '../utils/assert-never.js';
 
 const TICK_MS = 200;
-/** Texts asked of a peer in one call. */
 const TEXTS_PER_REQUEST = 200;
-/** Texts fetched from the object store at once. */
+/** Concurrent reads from the object store. */
 const CONCURRENT_READS_MAX = 8;
 
-/** A configuration as fetched. */
 interface FetchedConfiguration {
   readonly version: number;
   readonly manifest: string;
   readonly texts: ReadonlyMap<string, string>;
 }
 
-/** Settings of a runner. */
 export interface ConfigurationRunnerOptions {
   readonly store: ConfigurationStore;
   readonly timers: TimerService;
   readonly invariants: Invariants;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** Whether this instance is one of its data centre's pollers now. */
+  /** Whether this instance polls the platform for its data centre. */
   readonly isPoller: () => boolean;
-  /** Asks a peer; undefined when it is not known, rejected when it does not answer. */
+  /** Undefined if the peer is unknown; rejects if it does not answer. */
   readonly fetchFromPeer: (
     peer: string,
     hashes: readonly string[],
@@ -42,16 +39,15 @@
   readonly onApply: (declarations: Declarations) => void;
 }
 
-/** The configuration of one instance. */
 export interface ConfigurationRunner {
-  /** A peer says that it has a version. */
+  /** Handles a configuration version announced by a peer. */
   handle(peer: string, version: number): void;
   getVersion(): number;
-  /** Answers a peer: the manifest, or the texts it names. */
+  /** Builds the response to a peer: the manifest and the requested texts that are known. */
   buildResponse(hashes: readonly string[]): FetchConfigurationResponse;
 }
 
-/** Builds a runner that starts polling at once. */
+/** Creates a runner and starts polling. */
 export function createConfigurationRunner(
   options: ConfigurationRunnerOptions,
 ): ConfigurationRunner {
@@ -74,7 +70,7 @@
     const texts = new Map<string, string>();
     for (let start = 0; start < missing.length; start += CONCURRENT_READS_MAX) {
       const hashes = missing.slice(start, start + CONCURRENT_READS_MAX);
-      // Batch after batch: the platform's reads are limited.
+      // Reads in batches because the platform limits reads.
       // eslint-disable-next-line no-await-in-loop
       const loaded = await Promise.all(hashes.map((hash) => store.getText(hash)));
       loaded.forEach((text, index) => {
@@ -92,6 +88,7 @@
     const texts = new Map<string, string>();
     for (let start = 0; start < missing.length; start += TEXTS_PER_REQUEST) {
       const hashes = missing.slice(start, start + TEXTS_PER_REQUEST);
+      // One request at a time, to limit the load on the peer.
       // eslint-disable-next-line no-await-in-loop
       const answer = await options.fetchFromPeer(peer, hashes);
       for (const blob of answer?.blobs ?? []) texts.set(blob.hash, blob.text);
--- a/src/node/control-runner.ts
+++ b/src/node/control-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Duties that ride on owning a shard: looking at its endpoints' reports, and, under a lease, ordering
- * its engines to the declared models. The duties move with the shard; no instance is set aside.
+ * Control tasks of the shards that this instance owns: health checks of their endpoints and, under a
+ * lease, orders that make engines load the declared models.
  */
 import { randomUUID } from 'node:crypto';
 import { z } from 'zod';
@@ -32,7 +32,6 @@
   models: z.array(z.string()),
 });
 
-/** Settings of a runner. */
 export interface ControlRunnerOptions {
   readonly self: string;
   readonly table: TableClient;
@@ -46,9 +45,8 @@
   readonly onReachability: (endpoint: string, isReachable: boolean) => void;
 }
 
-/** Control duties of one instance. */
 export interface ControlRunner {
-  /** Shards whose lease this instance may order under now. */
+  /** Shards for which this instance holds a valid lease. */
   listLeasedShards(): string[];
 }
 
@@ -58,7 +56,7 @@
   reports: EngineReport[];
 }
 
-/** Builds a runner that starts looking at once. */
+/** Creates a runner and starts its health checks and lease timers. */
 export function createControlRunner(options: ControlRunnerOptions): ControlRunner {
   const { self, table, endpoints, timers, metrics, logger } = options;
   const controls = new Map<string, ShardControl>();
@@ -144,8 +142,8 @@
   async function fetchReport(endpoint: EndpointDeclaration): Promise<EngineReport | undefined> {
     const answer = await endpoints.fetchJson(endpoint, '/load', undefined, HEALTH_CHECK_TIMEOUT_MS);
     const parsed = reportSchema.safeParse(answer);
-    // Leaving before seen: an endpoint back in sight gets work at once, also one that leaves and
-    // whose leaving was announced while it was behind a cut.
+    // The leaving state must be set first: an endpoint that becomes reachable gets work at once, even
+    // if it started to leave while it was unreachable.
     if (parsed.success) options.onEndpointState(endpoint.name, parsed.data.isLeaving);
     options.onReachability(endpoint.name, answer !== undefined);
     if (!parsed.success) return undefined;
@@ -166,7 +164,7 @@
     const orders = control.reconciler.handle(control.reports, declaredModels, fence, nowMs);
     for (const order of orders) {
       const endpoint = shard.endpoints.find((candidate) => candidate.name === order.endpoint);
-      // The last look: nothing waits between this check and the send.
+      // Checked without an await before the send, so that no order is sent under a lost lease.
       const isStillHeld = control.lease.getGrant(getClockReading())?.fence === order.fence;
       if (endpoint !== undefined && isStillHeld) {
         metrics.count(METRIC.OrdersSent);
--- a/src/node/endpoint-client.ts
+++ b/src/node/endpoint-client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends attempts to endpoints with undici and turns what comes back into typed messages. An attempt
- * is told apart by its id, which the endpoint echoes in the response and in every frame.
+ * Sends attempts to endpoints over HTTP and parses their responses. Endpoints echo the attempt's id in
+ * the response header and in every frame, so that frames of other attempts can be detected.
  */
 import { StringDecoder } from 'node:string_decoder';
 import { createParser } from 'eventsource-parser';
@@ -13,28 +13,25 @@
 const CONNECTIONS_MAX = 512;
 const KEEP_ALIVE_MS = 10_000;
 const SERVICE_BODY_MAX_CHARACTERS = 16 * 1024 * 1024;
-/** Errors raised before a byte of the request was sent: proof that nothing ran. */
+/** Errors raised before any byte was sent, after which a retry is safe. */
 const UNSENT_CODES = ['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH'];
 const LEAVING_HEADER = 'x-endpoint-leaving';
 const DONE_EVENT_DATA = '[DONE]';
 
-/** What an attempt reports while it runs. */
 export interface AttemptListener {
-  /** `id` is what the frame says; `index` its position in the whole answer. */
+  /** `id` is the attempt id in the frame; `index` is its position in the whole answer. */
   onFrame(id: string, index: number, text: string): void;
   onFinished(id: string, index: number, finishReason: string): void;
   onEnded(ending: AttemptEnding): void;
 }
 
-/** A completion to send. */
 export interface CompletionAttempt {
   readonly attemptId: string;
   readonly body: string;
-  /** Frames delivered by earlier attempts. */
+  /** Number of frames delivered by earlier attempts. */
   readonly offset: number;
 }
 
-/** A call of a plain service to send. */
 export interface ServiceAttempt {
   readonly attemptId: string;
   readonly method: string;
@@ -43,21 +40,18 @@
   readonly body: Buffer | undefined;
 }
 
-/** A whole answer of a plain service. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** What a service attempt ended in. */
 export type ServiceEnding =
   | { readonly kind: 'answered'; readonly answer: ServiceAnswer }
   | { readonly kind: 'ended'; readonly ending: AttemptEnding };
 
-/** Connections to endpoints. */
 export interface EndpointClient {
-  /** Starts a completion; the returned function cancels it at the endpoint. */
+  /** Starts a completion and returns a function that cancels it. */
   startCompletion(
     endpoint: EndpointDeclaration,
     attempt: CompletionAttempt,
@@ -68,7 +62,7 @@
     attempt: ServiceAttempt,
     onEnded: (ending: ServiceEnding) => void,
   ): () => void;
-  /** One short control call; undefined when there is no good answer in time. */
+  /** Sends a control request; undefined on an error, a timeout or a status other than 200. */
   fetchJson(
     endpoint: EndpointDeclaration,
     path: string,
@@ -78,7 +72,6 @@
   close(): Promise<void>;
 }
 
-/** A frame of a stream, as far as it is used. */
 interface StreamFrame {
   readonly id: string;
   readonly index: number | undefined;
@@ -96,8 +89,8 @@
 }
 
 /**
- * Reads a frame by hand rather than by schema: this runs for every token.
- * Undefined for what is no frame of a completion.
+ * Parses a completion frame; undefined for other events. Runs for every token, so it avoids the cost of
+ * schema validation.
  */
 function parseFrame(data: string): StreamFrame | undefined {
   const { id, index, choices } = JSON.parse(data) as WireFrame;
@@ -123,7 +116,6 @@
   return isClientError && response.statusCode !== 429 ? 'rejected' : 'error';
 }
 
-/** Builds a client without connections. */
 export function createEndpointClient(): EndpointClient {
   const pools = new Map<string, Pool>();
 
@@ -135,7 +127,7 @@
       connections: CONNECTIONS_MAX,
       connectTimeout: CONNECT_TIMEOUT_MS,
       keepAliveTimeout: KEEP_ALIVE_MS,
-      // Silence is judged by the request's life, by the pool's own pace, not by a fixed time here.
+      // The request's state machine detects stalls with timeouts derived from the pool's latency.
       headersTimeout: 0,
       bodyTimeout: 0,
       pipelining: 1,
@@ -161,7 +153,7 @@
         if (text !== '') {
           const position = index ?? nextIndex;
           listener.onFrame(id, position, text);
-          // By position, not by number: a frame that came twice must not make the answer longer.
+          // Uses the position, so that a duplicate frame does not count twice.
           if (isSameAttempt) nextIndex = Math.max(nextIndex, position + 1);
         }
         if (finishReason !== undefined && isSameAttempt) finish = { id, reason: finishReason };
@@ -170,7 +162,7 @@
     return {
       feed: (chunk: string) => parser.feed(chunk),
       close() {
-        // Guards against an answer cut short: without its end marker it is never taken for whole.
+        // Without its end marker, an answer may be truncated and is not reported as finished.
         if (isDone && finish !== undefined)
           listener.onFinished(finish.id, nextIndex, finish.reason);
         else listener.onEnded('broken');
--- a/src/node/fleet-view.ts
+++ b/src/node/fleet-view.ts
@@ -1,4 +1,7 @@
-/** This instance's view of the fleet: membership, with what follows from it for its neighbours. */
+/**
+ * This instance's view of the fleet: runs membership and derives from it the live instances, the
+ * configuration pollers and the demand at peers.
+ */
 import type { DemandShare, Fact, PeerMessage } from '../gen/peer_pb.js';
 import type { PeerDemand } from '../limits/organisation-limits.js';
 import { FactKind, FactState, isPresent, isServing } from '../membership/facts.js';
@@ -17,35 +20,32 @@
 import { assertNever } from '../utils/assert-never.js';
 import { chooseRendezvous } from '../utils/hash.js';
 
-/** Membership advances this often, in milliseconds. */
 const TICK_MS = 50;
 const INSTANCE_LIST_PERIOD_MS = 2000;
-/** Instances that read the platform's head in each data centre. */
+/** Instances in each data centre that poll the platform for new configuration versions. */
 const POLLERS_PER_DATA_CENTRE = 2;
 
-/** Settings of a view. */
 export interface FleetViewOptions extends MembershipOptions {
   readonly timers: TimerService;
   /**
-   * How often membership advances, in milliseconds.
+   * Interval between membership ticks.
    * @default 50
    */
   readonly tickMs?: number;
   readonly instances: InstanceListClient;
   /**
-   * Whether this instance stands in the platform's list and reads it; else it knows others by gossip and
-   * the seeds alone. Each call of the list has its price.
+   * Whether this instance registers in the platform's instance list and reads it. Otherwise it finds
+   * others by gossip and seeds only, which saves calls to the platform.
    * @default always
    */
   readonly usesList?: () => boolean;
-  /** HOST:PORT of peers to ask when the platform cannot be reached. */
+  /** HOST:PORT of peers to contact in addition to the listed instances. */
   readonly seeds: readonly string[];
   readonly isLeaving: () => boolean;
   readonly send: (address: string, body: PeerMessage['body']) => void;
   readonly onChanged: (fact: Fact, before: Fact | undefined) => void;
 }
 
-/** The fleet as one instance sees it. */
 export interface FleetView {
   handle(from: string, body: GossipBody): void;
   recordEndpointState(endpoint: string, isLeaving: boolean): void;
@@ -54,24 +54,24 @@
   setDemand(shares: readonly DemandShare[]): void;
   leave(): void;
   left(): void;
-  /** Members that may own shards. */
+  /** Members that may own shards; excludes suspected ones. */
   listAlive(): Fact[];
-  /** Members that have not left of their own will, dead ones included. */
+  /** Members that are not leaving and have not left, including dead ones. */
   listPresent(): Fact[];
   listStatus(): MemberStatus[];
   listLeavingEndpoints(): string[];
-  /** Address of a member that takes part. */
+  /** Address of a member that is present. */
   findAddress(name: string): string | undefined;
-  /** Whether this instance is one of its data centre's pollers. */
+  /** Whether this instance polls the platform for its data centre. */
   isPoller(): boolean;
   getPeerDemand(): PeerDemand;
 }
 
-/** Builds a view that knows only this instance, and starts looking for others. */
+/** Creates a view that knows only this instance and starts discovery. */
 export function createFleetView(options: FleetViewOptions): FleetView {
   const { self, timers, instances } = options;
   const membership = createMembership(options);
-  /** Whether the platform's list names this instance, so that it must be told of its leaving. */
+  /** Whether this instance is registered in the platform's list and must update its entry on leaving. */
   let isListed = false;
 
   function runCommand(command: MembershipCommand): void {
@@ -97,7 +97,7 @@
     return membership.listMembers().filter(isServing);
   }
 
-  /** Those the platform lists; nobody where the list is not used. */
+  /** Updates this instance's list entry and returns the live instances; empty if the list is not used. */
   async function updateInstanceList(): Promise<readonly ListedInstance[]> {
     const isUsed = options.usesList?.() ?? true;
     if (!isUsed && !isListed) return [];
@@ -112,7 +112,7 @@
   async function updateContacts(): Promise<void> {
     const live = await updateInstanceList();
     const known = new Set(membership.listMembers().map((fact) => fact.address));
-    // A seed has no name until it answers; once its address is a member's it is no news.
+    // A seed is known only by its address until it answers, so the address serves as its name.
     const seeds: Contact[] = options.seeds
       .filter((address) => !known.has(address))
       .map((address) => ({ name: address, address, dataCentre: '' }));
@@ -150,8 +150,8 @@
     left() {
       runMembership({ kind: 'left' });
     },
-    // A suspect owns nothing: a wrong suspicion costs a moment's double grants, a right one is time
-    // won for every request that waits on a dead owner.
+    // Suspected members are excluded, so that requests do not wait for an owner that may be dead.
+    // A wrong suspicion can briefly cause duplicate grants.
     listAlive: () => membership.listMembers().filter((fact) => fact.state === FactState.ALIVE),
     listPresent: () =>
       membership
--- a/src/node/independent-broker.ts
+++ b/src/node/independent-broker.ts
@@ -1,6 +1,6 @@
 /**
- * A baseline for the bench: grants at once, by turns or to the endpoint with least in flight from
- * this entry, and leaves all queueing to the endpoints. Not for use.
+ * Benchmark baseline: grants every request immediately, by round robin or to the endpoint with the
+ * fewest requests in flight from this instance. Endpoints do all the queueing.
  */
 import type { SlotBroker, SlotListener } from './slot-broker-types.js';
 import type { Declarations } from '../types/declarations.js';
@@ -9,7 +9,6 @@
   readonly endpoint: string;
 }
 
-/** Builds the baseline. */
 export function createIndependentBroker(choice: 'round_robin' | 'least_in_flight'): SlotBroker {
   const held = new Map<string, HeldSlot>();
   const leavingEndpoints = new Set<string>();
--- a/src/node/operator-api.ts
+++ b/src/node/operator-api.ts
@@ -1,10 +1,9 @@
-/** The operators' port: health for anybody, state and orders for those who hold the secret. */
+/** The HTTP API for operators: public health checks; status, metrics and leaving with the secret. */
 import express from 'express';
 import type { Express } from 'express';
 import type { RouterStatus } from '../types/router-status.js';
 import { createOperatorCheck } from './operator-check.js';
 
-/** What the port shows and sets off. */
 export interface OperatorApiOptions {
   readonly secret: string;
   readonly isReady: () => boolean;
@@ -13,7 +12,6 @@
   readonly onLeave: () => void;
 }
 
-/** Builds the application. */
 export function createOperatorApi(options: OperatorApiOptions): Express {
   const app = express();
   app.disable('x-powered-by');
--- a/src/node/operator-check.ts
+++ b/src/node/operator-check.ts
@@ -1,8 +1,8 @@
-/** Lets in who holds the operators' secret. */
+/** Authenticates operators by their shared secret. */
 import type { RequestHandler } from 'express';
 import { hashText, isSameDigest } from '../utils/hash.js';
 
-/** Builds the check; it answers 401 to everybody else. */
+/** Creates middleware that answers requests without the secret with status 401. */
 export function createOperatorCheck(secret: string): RequestHandler {
   const expected = hashText(`Bearer ${secret}`);
   return (request, response, next) => {
--- a/src/node/refusal-failures.ts
+++ b/src/node/refusal-failures.ts
@@ -1,10 +1,9 @@
-/** How refusals of tickets look to callers. */
+/** Maps ticket refusals to the failures and messages that callers receive. */
 import { REFUSAL } from '../admission/ticket.js';
 import type { Refusal } from '../admission/ticket.js';
 import { FAILURE } from '../types/outcomes.js';
 import type { Failure } from '../types/outcomes.js';
 
-/** The failure a caller sees for each refusal of a ticket. */
 export const FAILURE_OF_REFUSAL: Readonly<Record<Refusal, Failure>> = {
   [REFUSAL.QueueFull]: FAILURE.Overloaded,
   [REFUSAL.Shed]: FAILURE.Overloaded,
@@ -15,7 +14,6 @@
   [REFUSAL.NoEndpoint]: FAILURE.NoEndpoint,
 };
 
-/** What the caller is told with it. */
 export const MESSAGE_OF_REFUSAL: Readonly<Record<Refusal, string>> = {
   [REFUSAL.QueueFull]: 'all queues are full; come back after the time given',
   [REFUSAL.Shed]: 'higher classes need the capacity; come back after the time given',
--- a/src/node/request-runner.ts
+++ b/src/node/request-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out what requests' lives ask for: claims, slots, attempts, answers. */
+/** Runs requests by executing the commands of their state machines. */
 import type Emittery from 'emittery';
 import { createLatencyEstimator } from '../attempts/latency-estimator.js';
 import type { LatencyEstimator } from '../attempts/latency-estimator.js';
@@ -30,10 +30,9 @@
 
 const STATE_MACHINE_TICK_MS = 20;
 const SERVICE_EXPECTED_TOKENS = 1;
-/** How often a slot's pace is told to the desk, in milliseconds. */
+/** Interval at which the broker is told the progress of running completions. */
 const PROGRESS_PERIOD_MS = 250;
 
-/** Settings of a runner. */
 export interface RequestRunnerOptions {
   readonly broker: SlotBroker;
   readonly endpoints: EndpointClient;
@@ -42,24 +41,22 @@
   readonly invariants: Invariants;
   readonly metrics: Metrics;
   readonly events: Emittery<RouterEvents>;
-  /** Whether attempts that stall are moved; off for the bench's baselines. */
+  /** Whether stalled attempts move to another endpoint; off in benchmark baselines. */
   readonly hasStallDetection: boolean;
-  /** Whether endpoints are told a request's tier. */
+  /** Whether the request's tier is sent to endpoints as its priority. */
   readonly hasPriority: boolean;
-  /** An endpoint said itself that it is leaving. */
+  /** Called when an endpoint response says that the endpoint is leaving. */
   readonly onLeaving: (endpoint: string) => void;
 }
 
-/** A request that runs. */
 export interface RunningRequest {
-  /** The caller closed its connection. */
+  /** Cancels the request after its caller has disconnected. */
   close(): void;
 }
 
-/** Runs requests. */
 export interface RequestRunner {
   run(request: RoutedRequest, sink: AnswerSink): RunningRequest;
-  /** Requests without a final answer. */
+  /** Number of requests without a final answer. */
   count(): number;
 }
 
@@ -70,7 +67,7 @@
   readonly startedMs: number;
   cancelAttempt: (() => void) | undefined;
   claim: HeldClaim | undefined;
-  /** The answer kept from an earlier run of the same request. */
+  /** The answer of an earlier run under the same idempotency key. */
   storedAnswer: StoredAnswer | undefined;
   deltas: string[];
   finishReason: string;
@@ -78,7 +75,7 @@
   lastFrameMs: number | undefined;
 }
 
-/** The platform answered something that cannot be read; nothing was sent. */
+/** The claim failed on an unreadable platform response; nothing was sent to an endpoint. */
 const CLAIM_RESPONSE_INVALID: RequestFailure = {
   type: FAILURE.ClaimUnavailable,
   message: 'the platform answered the claim with something unreadable; send the request again',
@@ -86,7 +83,6 @@
   retryAfterMs: 1000,
 };
 
-/** Builds a runner with nothing running. */
 export function createRequestRunner(options: RequestRunnerOptions): RequestRunner {
   const { broker, endpoints, claims, timers, invariants, metrics, events } = options;
   const runs = new Map<string, Run>();
@@ -168,7 +164,7 @@
     switch (result.kind) {
       case 'held':
         run.claim = result.claim;
-        // The deadline passed while claiming: the claim is given back, nothing was sent.
+        // The request ended while claiming; frees the claim, since nothing was sent.
         if (hasEnded) result.claim.settle(CLAIM_STATE.Free);
         else handleMessage(run, { kind: 'claimed' });
         break;
@@ -272,7 +268,7 @@
     recordDecision(run, offset > 0 ? 'resumed' : 'granted', { endpoint: command.endpoint });
     run.lastFrameMs = undefined;
     if (endpoint === undefined) {
-      // The owner knows a newer configuration than this request was routed by.
+      // The shard owner uses a newer configuration than the one this request was routed with.
       timers.subscribeOnce(0, () => {
         handleMessage(run, { kind: 'attempt_ended', attemptId, ending: 'unsent' });
       });
@@ -421,7 +417,7 @@
         repeatability: request.repeatability,
         deadlineMs: request.deadlineMs,
         invariants,
-        // A plain service answers in one piece of unknown length: only its deadline bounds it.
+        // A plain service does not stream, so only the deadline limits its response time.
         getFirstFrameTimeoutMs: () => (isUntimed ? Infinity : latency.computeFirstFrameTimeout()),
         getFrameGapTimeoutMs: () => (isUntimed ? Infinity : latency.computeGapTimeout()),
         takeRetry: () => budget.take(),
--- a/src/node/router-core.ts
+++ b/src/node/router-core.ts
@@ -1,6 +1,6 @@
 /**
- * Composes the slices of one router, without servers and connections: those come from outside, so
- * that the same composition runs in the process, in long randomised runs and in tests.
+ * Assembles a router from its components. Servers and connections are passed in, so that soak tests
+ * can run the same code over a simulated network.
  */
 import type Emittery from 'emittery';
 import { DEFAULT_POLICY } from '../admission/policy.js';
@@ -44,7 +44,6 @@
 const DRAIN_TICK_MS = 100;
 const DEMAND_PERIOD_MS = 1000;
 
-/** What a core is built on. */
 export interface RouterCoreOptions {
   readonly self: Contact;
   readonly incarnation: number;
@@ -63,13 +62,13 @@
   readonly instances: InstanceListClient;
   readonly endpoints: EndpointClient;
   readonly links: PeerLinks;
-  /** Callers are told to go elsewhere; what runs goes on. */
+  /** Called when new requests must no longer be accepted; running requests continue. */
   readonly onStopAccepting: () => void;
-  /** Everything that ran has ended. */
+  /** Called when all running requests have ended or the drain timeout has passed. */
   readonly onDrained: () => void;
 }
 
-/** A router without its servers. */
+/** A router without its HTTP servers and connections. */
 export interface RouterCore {
   readonly runner: RequestRunner;
   readonly authenticator: Authenticator;
@@ -85,7 +84,7 @@
   getAttemptVerdict(attemptId: string): AttemptVerdict;
 }
 
-/** Composes a router; its timers run from here on. */
+/** Creates a router core and starts its timers. */
 export function createRouterCore(options: RouterCoreOptions): RouterCore {
   const { self, random, timers, invariants, metrics, logger, events } = options;
   const { table, endpoints, links } = options;
@@ -243,7 +242,7 @@
         fleet.left();
         break;
       case 'stop':
-        // A moment for the last message to peers, then everything closes.
+        // Lets the last message reach the peers before the connections close.
         timers.subscribeOnce(DRAIN_TICK_MS, options.onDrained);
         break;
       default:
--- a/src/node/router.ts
+++ b/src/node/router.ts
@@ -1,4 +1,4 @@
-/** Composes one router out of its slices, and starts and stops it. */
+/** Starts and stops a router: its core, its HTTP servers and its connections. */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -34,23 +34,22 @@
 import type { RouterOptions } from './settings.js';
 import type { AdmissionPolicy } from '../admission/policy.js';
 
-/** A request's headers may take this many bytes; more is answered 431. */
+/** Larger request headers are answered with status 431. */
 const HEADER_BYTES_MAX = 16_384;
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 60_000;
-/** Guards against callers that open connections and send nothing. */
+/** Protects against callers that open connections and send nothing. */
 const CONNECTIONS_MAX = 10_000;
 const TABLE_NAME = 'hyssoptally';
 const BUCKET_NAME = 'hyssoptally';
 
-/** Settings that only code can give, for benches and tests. */
+/** Options for benchmarks and tests that cannot be set from the command line. */
 export interface RouterInternals {
   readonly policy?: AdmissionPolicy;
-  /** One-way delay to a peer's address, in milliseconds. */
+  /** Simulated one-way delay to a peer address. */
   readonly getPeerDelayMs?: (address: string) => number;
 }
 
-/** A running router. */
 export interface Router {
   readonly name: string;
   readonly callersUrl: string;
@@ -59,9 +58,9 @@
   readonly events: Emittery<RouterEvents>;
   getStatus(): RouterStatus;
   isReady(): boolean;
-  /** Leaves without cutting off anything; resolves once all is done. */
+  /** Leaves the fleet; resolves once running requests have ended or the drain timeout has passed. */
   drain(): Promise<void>;
-  /** Stops at once, as a crash would. */
+  /** Stops at once and closes open connections, as a crash would. */
   stop(): Promise<void>;
 }
 
@@ -74,7 +73,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Answers what never became a request: header bombs and garbage. */
+/** Responds to input that the HTTP parser rejects, such as oversized headers. */
 function handleClientError(error: Error & { code?: string }, socket: Socket): void {
   if (!socket.writable) {
     socket.destroy();
@@ -95,7 +94,7 @@
   );
 }
 
-/** Starts a router; throws a `SettingsError` for wrong settings. */
+/** Starts a router; throws a `SettingsError` for invalid settings. */
 export async function startRouter(
   options: RouterOptions,
   internals: RouterInternals = {},
@@ -149,7 +148,7 @@
     },
     onFetchConfiguration: (hashes) => core.buildConfigurationResponse(hashes),
     onQueryAttempt: (attemptId) => core.getAttemptVerdict(attemptId),
-    // This kind of router follows no source tables; an empty answer says so.
+    // This router reads no source tables, so it has no rows to share with peers.
     onFetchKnowledge: () => create(FetchKnowledgeResponseSchema),
   });
   const peersAddress = `${peersListen.host}:${peerServer.port}`;
--- a/src/node/settings.ts
+++ b/src/node/settings.ts
@@ -1,8 +1,8 @@
-/** Settings of a router: what the user gives, and what they are resolved to. */
+/** Settings of a router: their schema, defaults and validation. */
 import { z } from 'zod';
 import { LOG_LEVELS } from '../runtime/logger.js';
 
-/** A host and port, port 0 being chosen by the system. */
+/** HOST:PORT; with port 0 the operating system chooses a port. */
 const listenSchema = z
   .string()
   .regex(/^[^:\s]+:\d{1,5}$/, 'write HOST:PORT, for example 127.0.0.1:8080');
@@ -32,10 +32,9 @@
   maxBodyBytes: z.number().int().positive(),
 });
 
-/** Checked settings of a router. */
+/** Validated settings with defaults applied. */
 export type ResolvedRouterConfig = z.infer<typeof routerSettingsSchema>;
 
-/** Settings with a default. */
 export const ROUTER_DEFAULTS = {
   callers: '127.0.0.1:0',
   operators: '127.0.0.1:0',
@@ -43,22 +42,21 @@
   seeds: [] as string[],
   logLevel: 'info',
   statsdPort: 8125,
-  /** Two writes a claim; nine entries stay within the platform's several hundred a second. */
+  /** A claim takes two writes; nine instances stay within the platform's write limit. */
   claimWritesPerSecond: 40,
   drainTimeoutMs: 600_000,
   maxBodyBytes: 4_194_304,
 } as const;
 
-/** The settings a user must give; the others have defaults. */
+/** Settings as given by the user; those with defaults are optional. */
 export type RouterOptions = Partial<ResolvedRouterConfig> &
   Omit<ResolvedRouterConfig, keyof typeof ROUTER_DEFAULTS | 'statsdHost'>;
 
-/** A setting that is wrong, and what to do. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
 
-/** Checks settings; throws a `SettingsError` that names the flag and the remedy. */
+/** Validates settings; throws a `SettingsError` that lists each invalid one. */
 export function resolveRouterConfig(options: RouterOptions): ResolvedRouterConfig {
   const parsed = routerSettingsSchema.safeParse({ ...ROUTER_DEFAULTS, ...options });
   if (parsed.success) return parsed.data;
@@ -72,7 +70,6 @@
   throw new SettingsError(lines.join('\n'));
 }
 
-/** Splits HOST:PORT. */
 export function parseListen(listen: string): { host: string; port: number } {
   const at = listen.lastIndexOf(':');
   return { host: listen.slice(0, at), port: Number(listen.slice(at + 1)) };
--- a/src/node/slot-broker-types.ts
+++ b/src/node/slot-broker-types.ts
@@ -1,4 +1,4 @@
-/** What any way of finding slots for an entry's requests offers. */
+/** The interface of slot brokers, which obtain endpoint slots for an instance's requests. */
 import type { LiveInstance, Shard } from '../admission/shard-map.js';
 import type { ShardView } from '../admission/owner-messages.js';
 import type { HeldGrant, SlotRequest, SlotUse } from '../admission/ticket-client-messages.js';
@@ -6,7 +6,7 @@
 import type { Declarations } from '../types/declarations.js';
 import type { PeerBody } from '../types/peer-messages.js';
 
-/** The admission messages among the messages of peers. */
+/** Peer messages that concern admission. */
 export type AdmissionBody = Extract<
   PeerBody,
   {
@@ -21,14 +21,14 @@
   }
 >;
 
-/** What the broker tells the request that waits for a slot. */
+/** Callbacks to a request that waits for or holds a slot. */
 export interface SlotListener {
   onGrant(grant: HeldGrant): void;
   onRefusal(ticketId: string, reason: Refusal, retryAfterMs: number): void;
   onPreempt(ticketId: string): void;
 }
 
-/** Slots for the requests of one entry. */
+/** Obtains endpoint slots for the requests of one instance. */
 export interface SlotBroker {
   request(request: SlotRequest, listener: SlotListener): void;
   cancel(ticketId: string): void;
@@ -39,9 +39,8 @@
   setLiveInstances(instances: readonly LiveInstance[]): void;
   removeMember(member: string): void;
   setEndpointLeaving(endpoint: string, isLeaving: boolean): void;
-  /** What looking at an endpoint brought. */
+  /** Records the result of an endpoint health check. */
   recordReachability(endpoint: string, isReachable: boolean): void;
-  /** Shards this entry owns now. */
   listOwnedShards(): readonly Shard[];
   listShardViews(): ShardView[];
   countPendingTickets(): number;
--- a/src/node/slot-broker.ts
+++ b/src/node/slot-broker.ts
@@ -1,6 +1,6 @@
 /**
- * Joins this entry's ticket desk with the shards it owns for the moment, and moves their messages:
- * to itself by a call, to peers by the outbox.
+ * Connects this instance's ticket client with the owners of shards. Messages to shards that this
+ * instance owns are handled directly; others are sent to peers.
  */
 import { buildShardRoutes, buildShards } from '../admission/shard-map.js';
 import type { LiveInstance, Shard } from '../admission/shard-map.js';
@@ -25,10 +25,9 @@
 const CLIENT_TICK_MS = 5;
 const OWNER_TICK_MS = 25;
 const REPORT_PERIOD_MS = 500;
-/** A new owner waits this long for entries to say what they hold, in milliseconds. */
+/** Time that a new owner waits for instances to report the slots they hold. */
 const TAKEOVER_GRACE_MS = 250;
 
-/** Settings of a broker. */
 export interface SlotBrokerOptions {
   readonly self: LiveInstance;
   readonly timers: TimerService;
@@ -39,7 +38,7 @@
   readonly send: (message: AddressedMessage) => void;
 }
 
-/** Builds a broker without a configuration. */
+/** Creates a broker; it grants slots once declarations are set. */
 export function createSlotBroker(options: SlotBrokerOptions): SlotBroker {
   const { self, timers, random, invariants, metrics } = options;
   const ticketClient = createTicketClient(random);
@@ -135,7 +134,7 @@
     });
   }
 
-  /** The baseline of even shares: every entry owns every shard, with its part of the slots. */
+  /** Under the even-share baseline, every instance owns every shard with an equal part of its slots. */
   function buildPolicyShards(current: Declarations): readonly Shard[] {
     const all = buildShards(current, liveInstances);
     if (options.policy.kind === 'owners') return all;
@@ -149,7 +148,7 @@
     }));
   }
 
-  /** Data centres of a shard that have no live entry in sight. */
+  /** Data centres with endpoints of the shard but no live instance. */
   function listUnreachableDataCentres(shard: Shard): ReadonlySet<string> {
     const seen = new Set(liveInstances.map((instance) => instance.dataCentre));
     const declared = shard.endpoints.map((endpoint) => endpoint.dataCentre);
