--- a/src/node/claim-runner.ts
+++ b/src/node/claim-runner.ts
@@ -241,7 +241,7 @@
         metrics.count(METRIC.ClaimsRefused);
         return { kind: 'refused', failure: command.failure };
       }
-      throw new Error(`A claim ended in ${command.kind}; end it in proceed, replay or refuse`);
+      throw new Error(`unexpected final command of a claim: ${command.kind}`);
     },
     getVerdict,
   };
--- a/src/node/endpoint-client.ts
+++ b/src/node/endpoint-client.ts
@@ -195,7 +195,7 @@
       try {
         reader.feed(decoder.write(chunk));
       } catch {
-        response.body.destroy(new Error('the endpoint sent a frame that is not JSON'));
+        response.body.destroy(new Error('endpoint sent a frame that is not valid JSON'));
       }
     });
     await new Promise<void>((resolve, reject) => {
