--- a/src/node/endpoint-client.ts
+++ b/src/node/endpoint-client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends attempts to endpoints with undici and turns what comes back into typed messages. An attempt
- * is told apart by its id, which the endpoint echoes in the response and in every frame.
+ * Sends attempts to endpoints over HTTP and parses their responses. Endpoints echo the attempt's id in
+ * the response header and in every frame, so that frames of other attempts can be detected.
  */
 import { StringDecoder } from 'node:string_decoder';
 import { createParser } from 'eventsource-parser';
@@ -12,29 +12,26 @@
 const CONNECT_TIMEOUT_MS = 800;
 const CONNECTIONS_MAX = 512;
 const KEEP_ALIVE_MS = 10_000;
-const SERVICE_BODY_MAX = 16 * 1024 * 1024;
-/** Errors raised before a byte of the request was sent: proof that nothing ran. */
+const SERVICE_BODY_MAX_CHARACTERS = 16 * 1024 * 1024;
+/** Errors raised before any byte was sent, after which a retry is safe. */
 const UNSENT_CODES = ['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH'];
 const LEAVING_HEADER = 'x-endpoint-leaving';
-const DONE_MARK = '[DONE]';
+const DONE_EVENT_DATA = '[DONE]';
 
-/** What an attempt reports while it runs. */
 export interface AttemptListener {
-  /** `id` is what the frame says; `index` its position in the whole answer. */
+  /** `id` is the attempt id in the frame; `index` is its position in the whole answer. */
   onFrame(id: string, index: number, text: string): void;
   onFinished(id: string, index: number, finishReason: string): void;
   onEnded(ending: AttemptEnding): void;
 }
 
-/** A completion to send. */
 export interface CompletionAttempt {
   readonly attemptId: string;
   readonly body: string;
-  /** Frames delivered by earlier attempts. */
+  /** Number of frames delivered by earlier attempts. */
   readonly offset: number;
 }
 
-/** A call of a plain service to send. */
 export interface ServiceAttempt {
   readonly attemptId: string;
   readonly method: string;
@@ -43,21 +40,18 @@
   readonly body: Buffer | undefined;
 }
 
-/** A whole answer of a plain service. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** What a service attempt ended in. */
 export type ServiceEnding =
   | { readonly kind: 'answered'; readonly answer: ServiceAnswer }
   | { readonly kind: 'ended'; readonly ending: AttemptEnding };
 
-/** Connections to endpoints. */
 export interface EndpointClient {
-  /** Starts a completion; the returned function cancels it at the endpoint. */
+  /** Starts a completion and returns a function that cancels it. */
   startCompletion(
     endpoint: EndpointDeclaration,
     attempt: CompletionAttempt,
@@ -68,7 +62,7 @@
     attempt: ServiceAttempt,
     onEnded: (ending: ServiceEnding) => void,
   ): () => void;
-  /** One short control call; undefined when there is no good answer in time. */
+  /** Sends a control request; undefined on an error, a timeout or a status other than 200. */
   fetchJson(
     endpoint: EndpointDeclaration,
     path: string,
@@ -78,7 +72,6 @@
   close(): Promise<void>;
 }
 
-/** A frame of a stream, as far as it is used. */
 interface StreamFrame {
   readonly id: string;
   readonly index: number | undefined;
@@ -96,8 +89,8 @@
 }
 
 /**
- * Reads a frame by hand rather than by schema: this runs for every token.
- * Undefined for what is no frame of a completion.
+ * Parses a completion frame; undefined for other events. Runs for every token, so it avoids the cost of
+ * schema validation.
  */
 function parseFrame(data: string): StreamFrame | undefined {
   const { id, index, choices } = JSON.parse(data) as WireFrame;
@@ -119,23 +112,22 @@
 
 function computeStatusEnding(response: Dispatcher.ResponseData): AttemptEnding {
   if (response.headers[LEAVING_HEADER] === 'true') return 'leaving';
-  const isCallersFault = response.statusCode >= 400 && response.statusCode < 500;
-  return isCallersFault && response.statusCode !== 429 ? 'rejected' : 'error';
+  const isClientError = response.statusCode >= 400 && response.statusCode < 500;
+  return isClientError && response.statusCode !== 429 ? 'rejected' : 'error';
 }
 
-/** Builds a client without connections. */
 export function createEndpointClient(): EndpointClient {
   const pools = new Map<string, Pool>();
 
   function getPool(url: string): Pool {
     const { origin } = new URL(url);
-    const known = pools.get(origin);
-    if (known !== undefined) return known;
+    const existing = pools.get(origin);
+    if (existing !== undefined) return existing;
     const pool = new Pool(origin, {
       connections: CONNECTIONS_MAX,
       connectTimeout: CONNECT_TIMEOUT_MS,
       keepAliveTimeout: KEEP_ALIVE_MS,
-      // Silence is judged by the request's life, by the pool's own pace, not by a fixed time here.
+      // The request's state machine detects stalls with timeouts derived from the pool's latency.
       headersTimeout: 0,
       bodyTimeout: 0,
       pipelining: 1,
@@ -145,33 +137,34 @@
   }
 
   function createFrameReader(attempt: CompletionAttempt, listener: AttemptListener) {
-    let count = attempt.offset;
+    let nextIndex = attempt.offset;
     let finish: { id: string; reason: string } | undefined;
-    let isWhole = false;
+    let isDone = false;
     const parser = createParser({
       onEvent(event) {
-        if (event.data === DONE_MARK) {
-          isWhole = finish !== undefined;
+        if (event.data === DONE_EVENT_DATA) {
+          isDone = finish !== undefined;
           return;
         }
         const frame = parseFrame(event.data);
         if (frame === undefined) return;
         const { id, index, text, finishReason } = frame;
-        const isMine = id === attempt.attemptId;
+        const isSameAttempt = id === attempt.attemptId;
         if (text !== '') {
-          const position = index ?? count;
+          const position = index ?? nextIndex;
           listener.onFrame(id, position, text);
-          // By position, not by number: a frame that came twice must not make the answer longer.
-          if (isMine) count = Math.max(count, position + 1);
+          // Uses the position, so that a duplicate frame does not count twice.
+          if (isSameAttempt) nextIndex = Math.max(nextIndex, position + 1);
         }
-        if (finishReason !== undefined && isMine) finish = { id, reason: finishReason };
+        if (finishReason !== undefined && isSameAttempt) finish = { id, reason: finishReason };
       },
     });
     return {
       feed: (chunk: string) => parser.feed(chunk),
       close() {
-        // Guards against an answer cut short: without its end marker it is never taken for whole.
-        if (isWhole && finish !== undefined) listener.onFinished(finish.id, count, finish.reason);
+        // Without its end marker, an answer may be truncated and is not reported as finished.
+        if (isDone && finish !== undefined)
+          listener.onFinished(finish.id, nextIndex, finish.reason);
         else listener.onEnded('broken');
       },
     };
@@ -190,8 +183,8 @@
       body: attempt.body,
       signal,
     });
-    const isMine = response.headers['x-request-id'] === attempt.attemptId;
-    if (response.statusCode !== 200 || !isMine) {
+    const isSameAttempt = response.headers['x-request-id'] === attempt.attemptId;
+    if (response.statusCode !== 200 || !isSameAttempt) {
       await response.body.dump();
       listener.onEnded(response.statusCode === 200 ? 'broken' : computeStatusEnding(response));
       return;
@@ -202,7 +195,7 @@
       try {
         reader.feed(decoder.write(chunk));
       } catch {
-        response.body.destroy(new Error('the endpoint sent a frame that is not JSON'));
+        response.body.destroy(new Error('endpoint sent a frame that is not valid JSON'));
       }
     });
     await new Promise<void>((resolve, reject) => {
@@ -225,7 +218,7 @@
       signal,
     });
     const body = await response.body.text();
-    if (body.length > SERVICE_BODY_MAX) return { kind: 'ended', ending: 'error' };
+    if (body.length > SERVICE_BODY_MAX_CHARACTERS) return { kind: 'ended', ending: 'error' };
     if (response.headers[LEAVING_HEADER] === 'true') return { kind: 'ended', ending: 'leaving' };
     if (response.statusCode >= 500) return { kind: 'ended', ending: 'error' };
     const contentType = String(response.headers['content-type'] ?? 'application/octet-stream');
