--- a/src/cli/demo-main.ts
+++ b/src/cli/demo-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The whole path in one process on loopback, to look at or to check once. */
+/** Runs routers, engines and a service in one process on loopback, interactively or as a check. */
 import { randomUUID } from 'node:crypto';
 import { request } from 'undici';
 import { SERVICE_POOL, startEmbeddedFleet, waitUntil } from '../embedded/embedded-fleet.js';
@@ -15,7 +15,7 @@
 const NAME = 'hyssoptally-demo';
 const MODEL = 'assistant';
 const KEY = 'demo-key-of-the-depots';
-const ANSWER_MAX = 400;
+const RESPONSE_TOKENS_MAX = 400;
 const KILL_AFTER_TOKENS = 8;
 
 const DEMO_CLASSES: readonly ClassDeclaration[] = [
@@ -45,8 +45,8 @@
   },
 ];
 
-/** One thing the demo shows, and whether it held. */
-type Check = (what: string, holds: boolean) => void;
+/** Records the result of one check. */
+type RecordCheck = (description: string, isPassed: boolean) => void;
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
@@ -62,10 +62,10 @@
   return fleet.routers[index % fleet.routers.length]?.callersUrl ?? '';
 }
 
-async function checkClasses(fleet: EmbeddedFleet, client: CompletionClient, check: Check) {
+async function checkClasses(fleet: EmbeddedFleet, client: CompletionClient, check: RecordCheck) {
   for (const [index, { name }] of DEMO_CLASSES.entries()) {
     const prompt = `a question for class ${name} [length:${10 + index * 5}]`;
-    // One class after the other, so that the printed answers do not mix.
+    // Sequential, so that the printed responses do not interleave.
     // eslint-disable-next-line no-await-in-loop
     const result = await client.send({
       url: getUrl(fleet, index),
@@ -76,13 +76,13 @@
     });
     print(`${name}: ${result.text}`);
     check(
-      `the ${name} class gets the whole answer to its own request`,
-      result.isWhole && result.text === buildAnswer(prompt, ANSWER_MAX),
+      `the ${name} class gets the complete response to its request`,
+      result.isWhole && result.text === buildAnswer(prompt, RESPONSE_TOKENS_MAX),
     );
   }
 }
 
-async function checkService(fleet: EmbeddedFleet, check: Check): Promise<void> {
+async function checkService(fleet: EmbeddedFleet, check: RecordCheck): Promise<void> {
   const key = randomUUID();
   const send = (index: number) =>
     request(`${getUrl(fleet, index)}/services/${SERVICE_POOL}/orders`, {
@@ -97,9 +97,9 @@
     });
   const first = await send(0);
   const firstText = await first.body.text();
-  // The claim is settled just after the answer; the second try is sent once it is.
+  // The claim is completed shortly after the response; until then the second request gets a 409.
   let second = await send(1);
-  for (let tries = 0; second.statusCode === 409 && tries < 20; tries += 1) {
+  for (let attempt = 0; second.statusCode === 409 && attempt < 20; attempt += 1) {
     // eslint-disable-next-line no-await-in-loop
     await second.body.dump();
     // eslint-disable-next-line no-await-in-loop
@@ -113,19 +113,23 @@
   const runs = fleet.services.reduce((sum, service) => sum + (service.runs.get(key) ?? 0), 0);
   print(`order confirmation: ${firstText}`);
   check('an order sent twice through two routers ran once', runs === 1);
-  check('the second try gets the first one’s answer', firstText === secondText);
+  check('the repeated request gets the same response', firstText === secondText);
 }
 
-async function checkChange(fleet: EmbeddedFleet, check: Check): Promise<void> {
+async function checkConfigurationChange(fleet: EmbeddedFleet, check: RecordCheck): Promise<void> {
   const classes = fleet.files.get('10-classes.yaml') ?? '';
   const changed = new Map(fleet.files);
   changed.set('10-classes.yaml', classes.replace('deadlineMs: 60000', 'deadlineMs: 90000'));
   const { version, ms } = await fleet.publish(changed, 'demo operator');
-  print(`version ${version} in force on every router after ${ms.toFixed(0)} ms`);
-  check('a change is in force everywhere', version === 2);
+  print(`version ${version} applied on every router after ${ms.toFixed(0)} ms`);
+  check('a configuration change is applied on every router', version === 2);
 }
 
-async function checkKill(fleet: EmbeddedFleet, client: CompletionClient, check: Check) {
+async function checkEngineFailure(
+  fleet: EmbeddedFleet,
+  client: CompletionClient,
+  check: RecordCheck,
+) {
   const prompt = 'a long history, whose engine dies [length:60]';
   let tokens = 0;
   let killed: string | undefined;
@@ -138,38 +142,38 @@
     onText() {
       tokens += 1;
       if (tokens !== KILL_AFTER_TOKENS) return;
-      const busy = fleet.engines.find(
+      const busyEngine = fleet.engines.find(
         (engine) => engine.counts.started.size > engine.counts.completed,
       );
-      killed = busy?.name;
-      busy?.close().catch(() => undefined);
+      killed = busyEngine?.name;
+      busyEngine?.close().catch(() => undefined);
     },
   });
   print(
-    `killed ${killed ?? 'nothing'} after ${KILL_AFTER_TOKENS} tokens; the caller got: ${result.text}`,
+    `killed ${killed ?? 'nothing'} after ${KILL_AFTER_TOKENS} tokens; the caller received: ${result.text}`,
   );
-  check('an engine was killed in mid-answer', killed !== undefined);
+  check('an engine was killed while it was responding', killed !== undefined);
   check(
-    'the answer is whole all the same',
-    result.isWhole && result.text === buildAnswer(prompt, ANSWER_MAX),
+    'the response is complete nevertheless',
+    result.isWhole && result.text === buildAnswer(prompt, RESPONSE_TOKENS_MAX),
   );
 }
 
 async function runOnce(fleet: EmbeddedFleet): Promise<ExitCode> {
-  let misses = 0;
-  const check: Check = (what, holds) => {
-    if (!holds) misses += 1;
-    print(`${holds ? 'ok  ' : 'MISS'} ${what}`);
+  let failureCount = 0;
+  const check: RecordCheck = (description, isPassed) => {
+    if (!isPassed) failureCount += 1;
+    print(`${isPassed ? 'ok  ' : 'FAIL'} ${description}`);
   };
   const client = createCompletionClient();
   await checkClasses(fleet, client, check);
   await checkService(fleet, check);
-  await checkChange(fleet, check);
-  await checkKill(fleet, client, check);
+  await checkConfigurationChange(fleet, check);
+  await checkEngineFailure(fleet, client, check);
   const breaches = fleet.routers.reduce((sum, r) => sum + r.getStatus().invariantBreaches, 0);
-  check('no invariant was broken', breaches === 0);
+  check('no invariant was violated', breaches === 0);
   await client.close();
-  return misses === 0 ? EXIT_CODE.Ok : EXIT_CODE.Failed;
+  return failureCount === 0 ? EXIT_CODE.Ok : EXIT_CODE.Failed;
 }
 
 function printUsage(fleet: EmbeddedFleet): void {
@@ -185,7 +189,7 @@
   for (const router of fleet.routers)
     print(`  ${router.name}: callers ${router.callersUrl}, operators ${router.operatorsUrl}`);
   print('');
-  print('Decisions follow; Ctrl-C ends.');
+  print('Decisions are printed below; press Ctrl-C to stop.');
 }
 
 async function runDemo(): Promise<ExitCode | undefined> {
@@ -195,14 +199,14 @@
     flags: ['once'],
     examples: [
       ['$0', 'run until Ctrl-C'],
-      ['$0 --once', 'show and check everything once'],
+      ['$0 --once', 'run all checks once and exit'],
     ],
   })
     .options({
       once: {
         type: 'boolean',
         default: false,
-        describe: 'send one request of every class, then end',
+        describe: 'run all checks once and exit',
       },
     })
     .parseAsync();
--- a/src/cli/load-main.ts
+++ b/src/cli/load-main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** An open-loop load against running routers; what callers saw, as a table or JSON. */
+/** Open-loop load generator: reports latencies and outcomes as a table or JSON. */
 import { createCompletionClient } from '../load/completion-client.js';
 import { buildLoadPlan, parseMix } from '../load/load-plan.js';
 import { buildLoadReport } from '../load/load-report.js';
@@ -9,24 +9,24 @@
 import { formatTable } from './format-output.js';
 
 const NAME = 'hyssoptally-load';
-/** Loads go to this machine only: a stray URL must never become a target. */
-const LOOPBACK = /^http:\/\/(127\.\d+\.\d+\.\d+|localhost|\[::1\])(:\d+)?$/;
+/** Only loopback URLs are accepted, to keep load off systems of others. */
+const LOOPBACK_URL = /^http:\/\/(127\.\d+\.\d+\.\d+|localhost|\[::1\])(:\d+)?$/;
 
 const LOAD_FLAGS = {
   url: {
     type: 'string',
     array: true,
     demandOption: true,
-    describe: 'callers’ URLs of routers, on loopback',
+    describe: 'loopback URLs of the routers’ caller ports',
   },
-  key: { type: 'string', demandOption: true, describe: 'an organisation’s key' },
-  model: { type: 'string', default: 'assistant', describe: 'model to ask' },
-  mix: { type: 'string', default: 'counter=1', describe: 'classes and their shares' },
-  rate: { type: 'number', default: 10, describe: 'requests a second' },
-  seconds: { type: 'number', default: 10, describe: 'how long to send' },
-  seed: { type: 'number', default: 1, describe: 'seed of the arrivals' },
-  'first-token-ms': { type: 'number', default: 1400, describe: 'target for the first token' },
-  'between-tokens-ms': { type: 'number', default: 76, describe: 'target between tokens' },
+  key: { type: 'string', demandOption: true, describe: 'key of an organisation' },
+  model: { type: 'string', default: 'assistant', describe: 'model to request' },
+  mix: { type: 'string', default: 'counter=1', describe: 'request classes with their shares' },
+  rate: { type: 'number', default: 10, describe: 'requests per second' },
+  seconds: { type: 'number', default: 10, describe: 'duration in seconds' },
+  seed: { type: 'number', default: 1, describe: 'seed for the arrival times' },
+  'first-token-ms': { type: 'number', default: 1400, describe: 'target time to first token' },
+  'between-tokens-ms': { type: 'number', default: 76, describe: 'target time between tokens' },
   json: { type: 'boolean', default: false, describe: 'print JSON' },
 } as const;
 
@@ -35,10 +35,10 @@
 }
 
 function formatReport(classes: readonly ClassReport[]): string {
-  const head = [
+  const header = [
     'class',
     'requests',
-    'whole',
+    'complete',
     'attained %',
     'first token p50/p95 ms',
     'between tokens p95 ms',
@@ -61,7 +61,7 @@
     String(report.mayHaveRun),
     String(report.incomplete),
   ]);
-  return formatTable([head, ...rows]);
+  return formatTable([header, ...rows]);
 }
 
 async function runLoad(): Promise<ExitCode> {
@@ -72,15 +72,16 @@
     examples: [
       [
         '$0 --url http://127.0.0.1:8081 --key KEY --mix counter=0.7,history=0.3 --rate 20',
-        'twenty requests a second for ten seconds',
+        'send twenty requests per second for ten seconds',
       ],
     ],
   })
     .options(LOAD_FLAGS)
     .parseAsync();
   const urls = args.url as readonly string[];
-  const stray = urls.find((url) => !LOOPBACK.test(url));
-  if (stray !== undefined) throw new Error(`--url ${stray}: loads go to loopback addresses only`);
+  const rejectedUrl = urls.find((url) => !LOOPBACK_URL.test(url));
+  if (rejectedUrl !== undefined)
+    throw new Error(`--url ${rejectedUrl}: only loopback addresses are allowed`);
   const plan = buildLoadPlan({
     mix: parseMix(args.mix),
     rate: args.rate,
@@ -92,11 +93,12 @@
   const startedMs = performance.now();
   const pending: Promise<LoadObservation>[] = [];
   for (const { atMs, className, prompt, target } of plan) {
-    const dueInMs = startedMs + atMs - performance.now();
-    if (dueInMs > 1) {
+    const delayMs = startedMs + atMs - performance.now();
+    if (delayMs > 1) {
+      // Open loop: requests are sent at their scheduled times.
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
-        setTimeout(resolve, dueInMs);
+        setTimeout(resolve, delayMs);
       });
     }
     const call = { url: urls[target] ?? '', key: args.key, model: args.model, prompt, className };
--- a/src/cli/query-router.ts
+++ b/src/cli/query-router.ts
@@ -1,43 +1,45 @@
-/** Asks a router's operators' port, and says on standard error what went wrong. */
+/** Sends requests to the operator port of a router. */
 import { request } from 'undici';
 import { EXIT_CODE } from './command-line.js';
 import type { ExitCode } from './command-line.js';
 
-const ANSWER_TIMEOUT_MS = 5000;
+const RESPONSE_TIMEOUT_MS = 5000;
 const STATUS_OK = 200;
 
-/** A question to a router. */
-export interface RouterQuestion {
-  /** Name of the program that asks, for its messages. */
+export interface RouterRequest {
+  /** Name of the program, for error messages. */
   readonly name: string;
   readonly url: string;
   readonly path: string;
   readonly secret: string;
-  /** Sent as JSON with POST; absent for GET. */
+  /** JSON body of a POST request; absent for GET. */
   readonly body?: object;
 }
 
-/** What came of it. */
-export type RouterAnswer =
+export type RouterResponse =
   | { readonly kind: 'answered'; readonly body: unknown }
   | { readonly kind: 'failed'; readonly exitCode: ExitCode };
 
-/** Asks once. */
-export async function queryRouter(question: RouterQuestion): Promise<RouterAnswer> {
-  const { name, url, path, secret, body } = question;
+/** Sends one request; prints errors to standard error. */
+export async function queryRouter(routerRequest: RouterRequest): Promise<RouterResponse> {
+  const { name, url, path, secret, body } = routerRequest;
   try {
     const response = await request(`${url}${path}`, {
       method: body === undefined ? 'GET' : 'POST',
       headers: { authorization: `Bearer ${secret}`, 'content-type': 'application/json' },
       body: body === undefined ? null : JSON.stringify(body),
-      signal: AbortSignal.timeout(ANSWER_TIMEOUT_MS),
+      signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS),
     });
     const text = await response.body.text();
     if (response.statusCode === STATUS_OK) return { kind: 'answered', body: JSON.parse(text) };
-    process.stderr.write(`${name}: the router answered ${response.statusCode}: ${text}\n`);
+    process.stderr.write(
+      `${name}: the router responded with status ${response.statusCode}: ${text}\n`,
+    );
     return { kind: 'failed', exitCode: EXIT_CODE.Failed };
   } catch {
-    process.stderr.write(`${name}: ${url} did not answer; check --router and that it runs\n`);
+    process.stderr.write(
+      `${name}: no response from ${url}; check --router and whether the router is running\n`,
+    );
     return { kind: 'failed', exitCode: EXIT_CODE.Unavailable };
   }
 }
--- a/src/cli/router-commands.ts
+++ b/src/cli/router-commands.ts
@@ -1,81 +1,77 @@
-/** What the operators' tool asks of a router: its state, the quarantine, the fleet's duties. */
+/** Commands of `hyssoptally-ctl` that call a router. */
 import type { DutyStatus } from '../duties/fleet-duties.js';
 import type { ListedCase } from '../quarantine/quarantine-api.js';
 import type { RouterStatus } from '../types/router-status.js';
 import type { ExitCode } from './command-line.js';
-import { formatCases, formatDuties, formatStatus } from './format-output.js';
+import { formatQuarantine, formatDuties, formatStatus } from './format-output.js';
 import { queryRouter } from './query-router.js';
 
-/** A router's operators' port. */
+/** URL and secret of a router's operator port. */
 export interface RouterAddress {
   readonly url: string;
   readonly secret: string;
 }
 
-/** Where answers go. */
 export interface RouterCommandsOptions {
-  /** Name of the program, for its messages. */
+  /** Name of the program, for error messages. */
   readonly name: string;
   readonly print: (isJson: boolean, value: unknown, text: string) => void;
   readonly onFailed: (exitCode: ExitCode) => void;
 }
 
-/** The commands. */
 export interface RouterCommands {
   runStatus(router: RouterAddress, isJson: boolean): Promise<void>;
   runQuarantine(router: RouterAddress, isJson: boolean): Promise<void>;
-  /** Lets a content run again. */
+  /** Releases a request content from quarantine. */
   runRelease(
     router: RouterAddress,
     release: { readonly content: string; readonly who: string; readonly reason: string },
     isJson: boolean,
   ): Promise<void>;
   runDuties(router: RouterAddress, isJson: boolean): Promise<void>;
-  /** The router leaves the duties to others for a while. */
+  /** Makes the router release the fleet duties to another one. */
   runStepDown(router: RouterAddress, isJson: boolean): Promise<void>;
 }
 
-/** Builds the commands. */
 export function createRouterCommands(options: RouterCommandsOptions): RouterCommands {
   const { name, print, onFailed } = options;
 
-  /** Asks a router and prints what it says. */
-  async function runQuestion<T>(
-    question: RouterAddress & { readonly path: string; readonly body?: object },
+  async function runRequest<T>(
+    request: RouterAddress & { readonly path: string; readonly body?: object },
     isJson: boolean,
     format: (body: T) => string,
   ): Promise<void> {
-    const answer = await queryRouter({ ...question, name });
-    if (answer.kind === 'failed') {
-      onFailed(answer.exitCode);
+    const response = await queryRouter({ ...request, name });
+    if (response.kind === 'failed') {
+      onFailed(response.exitCode);
       return;
     }
-    const body = answer.body as T;
+    const body = response.body as T;
     print(isJson, body, format(body));
   }
 
   return {
     runStatus: (router, isJson) =>
-      runQuestion<RouterStatus>({ ...router, path: '/status' }, isJson, formatStatus),
+      runRequest<RouterStatus>({ ...router, path: '/status' }, isJson, formatStatus),
     runQuarantine: (router, isJson) =>
-      runQuestion<{ readonly cases: readonly ListedCase[] }>(
+      runRequest<{ readonly cases: readonly ListedCase[] }>(
         { ...router, path: '/quarantine' },
         isJson,
-        ({ cases }) => formatCases(cases),
+        ({ cases }) => formatQuarantine(cases),
       ),
     runRelease(router, { content, who, reason }, isJson) {
       const path = `/quarantine/${encodeURIComponent(content)}/release`;
-      const question = { ...router, path, body: { who, reason } };
-      return runQuestion(question, isJson, () => `released ${content}`);
+      const request = { ...router, path, body: { who, reason } };
+      return runRequest(request, isJson, () => `released ${content}`);
     },
     runDuties: (router, isJson) =>
-      runQuestion<{ readonly duties: DutyStatus | null }>(
+      runRequest<{ readonly duties: DutyStatus | null }>(
         { ...router, path: '/duties' },
         isJson,
         ({ duties }) => formatDuties(duties),
       ),
     runStepDown: (router, isJson) =>
-      runQuestion<{ readonly outcome: string }>(
+      runRequest<{ readonly outcome: string }>(
         { ...router, path: '/duties/release', body: {} },
         isJson,
         ({ outcome }) => outcome,
--- a/src/configuration/configuration.test.ts
+++ b/src/configuration/configuration.test.ts
@@ -19,18 +19,18 @@
   models: { kind: engine, models: [assistant], endpoints: {} }
 `;
 
-function buildTeam(name: string, weight: number): string {
+function buildOrganisationFile(name: string, weight: number): string {
   const key = `sha256:${hashText(name)}`;
   return `organisations:\n  ${name}: { keys: ['${key}'], classes: [counter], defaultClass: counter, pools: [models], weight: ${weight} }\n`;
 }
 
-/** A store in memory; `beforePublish` lets a test put another operator in between. */
+/** In-memory store; `chooseOutcome` decides whether a write succeeds or where it is lost. */
 function createFakeStore(
-  beforePublish: (tries: number) => 'fine' | 'lost' | 'unsent' = () => 'fine',
+  chooseOutcome: (attempt: number) => 'fine' | 'lost' | 'unsent' = () => 'fine',
 ) {
   const texts = new Map<string, string>();
   const audit: AuditRecord[] = [];
-  let tries = 0;
+  let attempts = 0;
   const ambiguous = createPlatformError(PLATFORM_FAILURE.Ambiguous, 'lost');
   const store: ConfigurationStore = {
     async getHead() {
@@ -44,14 +44,14 @@
       });
     },
     async publish(record) {
-      tries += 1;
-      const fate = beforePublish(tries);
-      if (fate === 'unsent') return Err(ambiguous);
+      attempts += 1;
+      const outcome = chooseOutcome(attempts);
+      if (outcome === 'unsent') return Err(ambiguous);
       if ((audit.at(-1)?.version ?? 0) !== record.fromVersion) {
         return Err(createPlatformError(PLATFORM_FAILURE.Conflict, 'moved'));
       }
       audit.push(record);
-      return fate === 'lost' ? Err(ambiguous) : Ok(undefined);
+      return outcome === 'lost' ? Err(ambiguous) : Ok(undefined);
     },
     getAudit: async (version) => Ok(audit.find((record) => record.version === version)),
     listAudit: async () => Ok([...audit].reverse()),
@@ -83,35 +83,38 @@
 }
 
 describe('publishing', ({ it }) => {
-  const first = { '00.yaml': BASE, 'a.yaml': buildTeam('a', 1), 'b.yaml': buildTeam('b', 1) };
+  const initialFiles = {
+    '00.yaml': BASE,
+    'a.yaml': buildOrganisationFile('a', 1),
+    'b.yaml': buildOrganisationFile('b', 1),
+  };
 
-  it('recognises its own write after a lost answer', async (t) => {
-    // An operator is told that a change failed, applies it again, and the trail shows it twice. The
-    // first write had taken effect; only its answer was lost.
-    const { store, audit } = createFakeStore((tries) => (tries === 1 ? 'lost' : 'fine'));
-    const published = await publishFiles(store, buildRequest(first));
+  it('recognises its own write when the response is lost', async (t) => {
+    // Guards against a change that is recorded twice because the response to the first write was lost.
+    const { store, audit } = createFakeStore((attempt) => (attempt === 1 ? 'lost' : 'fine'));
+    const published = await publishFiles(store, buildRequest(initialFiles));
     t.true(published.ok);
     t.is(audit.length, 1);
   });
 
-  it('recognises its own write under another operator’s later one', async (t) => {
-    // An operator is told that somebody else changed the file first, although the change is in force.
-    // The answer was lost, and before it was read back another operator changed the same file.
-    const { store, audit } = createFakeStore((tries) => (tries === 2 ? 'lost' : 'fine'));
-    await publishFiles(store, buildRequest(first));
-    const raced: ConfigurationStore = {
+  it('recognises its own write after a later one by another operator', async (t) => {
+    // Guards against reporting a conflict for a change that took effect: its response was lost, and
+    // another operator changed the same file before it was read back.
+    const { store, audit } = createFakeStore((attempt) => (attempt === 2 ? 'lost' : 'fine'));
+    await publishFiles(store, buildRequest(initialFiles));
+    const racingStore: ConfigurationStore = {
       ...store,
       async publish(record) {
         const result = await store.publish(record);
         if (record.version === 2) {
-          const theirs = { ...first, 'a.yaml': buildTeam('a', 7) };
+          const theirs = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 7) };
           await publishFiles(store, buildRequest(theirs, { who: 'kamala' }));
         }
         return result;
       },
     };
-    const ours = { ...first, 'a.yaml': buildTeam('a', 2) };
-    const published = await publishFiles(raced, buildRequest(ours, { who: 'nimal' }));
+    const ours = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 2) };
+    const published = await publishFiles(racingStore, buildRequest(ours, { who: 'nimal' }));
     t.is(published.ok && published.val.version, 2);
     t.deepEqual(
       audit.map(({ who }) => who),
@@ -119,19 +122,18 @@
     );
   });
 
-  it('sends a write again that never arrived', async (t) => {
-    const { store, audit } = createFakeStore((tries) => (tries === 1 ? 'unsent' : 'fine'));
-    t.true((await publishFiles(store, buildRequest(first))).ok);
+  it('retries a write that never arrived', async (t) => {
+    const { store, audit } = createFakeStore((attempt) => (attempt === 1 ? 'unsent' : 'fine'));
+    t.true((await publishFiles(store, buildRequest(initialFiles))).ok);
     t.is(audit.length, 1);
   });
 
-  it('merges with an operator who changed another file meanwhile', async (t) => {
-    // Two teams publish at the same moment; the later compare-and-set fails although they touched
-    // different files.
+  it('merges concurrent changes of different files', async (t) => {
+    // Guards against a conflict between concurrent publications that change different files.
     const { store, audit } = createFakeStore();
-    await publishFiles(store, buildRequest(first));
-    const changedA = { ...first, 'a.yaml': buildTeam('a', 2) };
-    const changedB = { ...first, 'b.yaml': buildTeam('b', 3) };
+    await publishFiles(store, buildRequest(initialFiles));
+    const changedA = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 2) };
+    const changedB = { ...initialFiles, 'b.yaml': buildOrganisationFile('b', 3) };
     await publishFiles(store, buildRequest(changedA, { who: 'a', baseVersion: 1 }));
     const merged = await publishFiles(store, buildRequest(changedB, { who: 'b', baseVersion: 1 }));
     t.true(merged.ok);
@@ -141,11 +143,11 @@
     t.is(merged.val.declarations.organisations.get('b')?.weight, 3);
   });
 
-  it('names who changed the same file, when, and what to do', async (t) => {
+  it('reports author, time and remedy of a conflicting change', async (t) => {
     const { store } = createFakeStore();
-    await publishFiles(store, buildRequest(first));
-    const theirs = { ...first, 'a.yaml': buildTeam('a', 2) };
-    const ours = { ...first, 'a.yaml': buildTeam('a', 9) };
+    await publishFiles(store, buildRequest(initialFiles));
+    const theirs = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 2) };
+    const ours = { ...initialFiles, 'a.yaml': buildOrganisationFile('a', 9) };
     await publishFiles(store, buildRequest(theirs, { who: 'kamala', baseVersion: 1 }));
     const refused = await publishFiles(store, buildRequest(ours, { who: 'nimal', baseVersion: 1 }));
     t.true(refused.err);
@@ -153,38 +155,38 @@
     t.snapshot(formatPublishError(refused.val));
   });
 
-  it('leaves files alone that a team does not name', async (t) => {
+  it('changes only the files that are named', async (t) => {
     const { store } = createFakeStore();
-    await publishFiles(store, buildRequest(first));
-    const own = { 'a.yaml': buildTeam('a', 4) };
+    await publishFiles(store, buildRequest(initialFiles));
+    const own = { 'a.yaml': buildOrganisationFile('a', 4) };
     const published = await publishFiles(store, buildRequest(own, { only: ['a.yaml'] }));
     t.is(published.ok && published.val.declarations.organisations.size, 2);
   });
 });
 
 describe('declarations', ({ it }) => {
-  it('are refused with file, line and remedy', (t) => {
+  it('are rejected with file, line and remedy', (t) => {
     const files = new Map([
       ['00.yaml', BASE],
-      ['a.yaml', buildTeam('a', 1)],
-      ['b.yaml', buildTeam('a', 1)],
-      ['c.yaml', buildTeam('c', 1).replace('classes: [counter]', 'classes: [gold]')],
+      ['a.yaml', buildOrganisationFile('a', 1)],
+      ['b.yaml', buildOrganisationFile('a', 1)],
+      ['c.yaml', buildOrganisationFile('c', 1).replace('classes: [counter]', 'classes: [gold]')],
       ['d.yaml', 'classes:\n  fast:\n    tier: 0\n    tire: 1\n'],
       ['e.yaml', 'organisations: {{\n'],
     ]);
-    const bad = createCompiler().build(files, 1);
-    t.snapshot(bad.err && bad.val.map(formatDeclarationError));
+    const schemaErrors = createCompiler().build(files, 1);
+    t.snapshot(schemaErrors.err && schemaErrors.val.map(formatDeclarationError));
     files.delete('d.yaml');
     files.delete('e.yaml');
-    const dangling = createCompiler().build(files, 1);
-    t.snapshot(dangling.err && dangling.val.map(formatDeclarationError));
+    const referenceErrors = createCompiler().build(files, 1);
+    t.snapshot(referenceErrors.err && referenceErrors.val.map(formatDeclarationError));
   });
 });
 
-describe('the configuration in force', ({ it }) => {
-  it('never goes back, whatever is announced and fetched in whatever order', (t) => {
-    // An organisation that was locked out gets in again. After an outage an instance hears of an
-    // older version from a peer that was cut off, or from a stale read, and applies it.
+describe('current configuration', ({ it }) => {
+  it('never reverts to an older version', (t) => {
+    // Guards against applying an older version from a stale read or a partitioned peer, which could
+    // restore access that was revoked.
     const property = fc.property(
       fc.array(fc.record({ version: fc.integer({ min: 1, max: 9 }), isFetched: fc.boolean() }), {
         maxLength: 40,
@@ -212,7 +214,7 @@
     t.notThrows(() => fc.assert(property, { seed: 5, numRuns: 500 }));
   });
 
-  it('refuses a text that is not what its hash says', (t) => {
+  it('rejects a file that does not match its hash', (t) => {
     const keeper = createConfigurationKeeper(createInvariants(() => undefined));
     const manifest = encodeManifest(buildManifest(new Map([['00.yaml', BASE]])));
     const texts = new Map([[hashText(BASE), `${BASE}# forged`]]);
--- a/src/configuration/keeper.ts
+++ b/src/configuration/keeper.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps the configuration in force on one instance. It hears of versions from the platform and from
- * peers, fetches what it lacks by content hash, and applies only what is higher than what it has.
+ * Keeps the configuration of one instance up to date. The platform and peers announce versions;
+ * files that are missing locally are fetched by content hash.
  *
- * Guards against falling back to an older configuration: it shows after an outage, when a stale
- * read or a peer that was cut off names a lower version. Versions come from one compare-and-set
- * counter, so a higher number is always later, and lower or equal ones are ignored here.
+ * Only a version higher than the current one is applied, since a stale read or a peer that was
+ * partitioned may announce an older one. Versions come from a single compare-and-set counter, so a
+ * higher number is always newer.
  */
 import type { Invariants } from '../runtime/invariants.js';
 import type { Declarations } from '../types/declarations.js';
@@ -15,19 +15,17 @@
 import { parseManifest } from './manifest.js';
 import type { Manifest } from './manifest.js';
 
-/** Marks the platform as a source; every other source is a peer's name. */
+/** The platform as the source of a version; any other source is the name of a peer. */
 export const PLATFORM_SOURCE = 'platform';
 
-/** A chosen poller reads the platform's head this often, in milliseconds. */
-export const POLL_MS = 1000;
-/** Every other instance does so this often: the way out when all pollers of a data centre fail. */
-export const POLL_IDLE_MS = 15_000;
-/** A fetch without an end after this long is given up, in milliseconds. */
+/** Polling interval of the instances that poll the platform for their data centre. */
+export const POLL_INTERVAL_MS = 1000;
+/** Polling interval of all other instances, in case every poller of a data centre fails. */
+export const FALLBACK_POLL_INTERVAL_MS = 15_000;
 const FETCH_TIMEOUT_MS = 4000;
-/** Sources of a version remembered. */
-const SOURCES_KEPT = 8;
+const SOURCES_MAX = 8;
 
-/** What a keeper is told. */
+/** Input of the state machine. */
 export type KeeperMessage =
   | { readonly kind: 'announced'; readonly version: number; readonly source: string }
   | {
@@ -39,78 +37,80 @@
   | { readonly kind: 'fetch_failed'; readonly source: string }
   | { readonly kind: 'tick'; readonly isPoller: boolean };
 
-/** What a keeper asks for. */
+/** An action for the caller to carry out. */
 export type KeeperCommand =
   | { readonly kind: 'poll' }
   | { readonly kind: 'fetch'; readonly version: number; readonly source: string }
   | { readonly kind: 'apply'; readonly declarations: Declarations }
   | { readonly kind: 'reject'; readonly version: number; readonly reason: string };
 
-/** The configuration of one instance. */
 export interface ConfigurationKeeper {
   handle(message: KeeperMessage, nowMs: number): KeeperCommand[];
-  /** The version in force; 0 before the first. */
+  /** The current version; 0 if none has been applied yet. */
   getVersion(): number;
   getManifestText(): string;
-  /** A text held here, for peers. */
+  /** Returns the content of a file of the current version, to serve it to peers. */
   findText(hash: string): string | undefined;
-  /** Hashes of a manifest that are not held here. */
+  /** Lists the hashes in a manifest whose content is not available locally. */
   listMissing(manifest: Manifest): string[];
 }
 
-/** Builds a keeper without a configuration. */
 export function createConfigurationKeeper(invariants: Invariants): ConfigurationKeeper {
   const compiler = createCompiler();
   let texts = new Map<string, string>();
   let version = 0;
   let manifestText = '';
-  let polledMs = -Infinity;
-  let fetching: { version: number; source: string; sinceMs: number } | undefined;
+  let lastPollMs = -Infinity;
+  let pendingFetch: { version: number; source: string; startedMs: number } | undefined;
   let sources: { version: number; source: string }[] = [];
   let commands: KeeperCommand[] = [];
 
   function startFetch(nowMs: number): void {
-    const isBusy = fetching !== undefined && nowMs - fetching.sinceMs < FETCH_TIMEOUT_MS;
-    if (isBusy) return;
+    const isFetching =
+      pendingFetch !== undefined && nowMs - pendingFetch.startedMs < FETCH_TIMEOUT_MS;
+    if (isFetching) return;
     sources = sources.filter((candidate) => candidate.version > version);
-    // Peers first: they are near, and the platform's reads are limited.
+    // Prefer peers over the platform: they are closer, and the platform limits reads.
     const ranked = [...sources].sort(
       (a, b) =>
         b.version - a.version ||
         Number(a.source === PLATFORM_SOURCE) - Number(b.source === PLATFORM_SOURCE),
     );
-    const [best] = ranked;
-    fetching = best === undefined ? undefined : { ...best, sinceMs: nowMs };
-    if (best !== undefined) commands.push({ kind: 'fetch', ...best });
+    const [bestSource] = ranked;
+    pendingFetch = bestSource === undefined ? undefined : { ...bestSource, startedMs: nowMs };
+    if (bestSource !== undefined) commands.push({ kind: 'fetch', ...bestSource });
   }
 
-  function handleAnnounced(announced: number, source: string, nowMs: number): void {
-    if (announced <= version) return;
-    const others = sources.filter((known) => known.source !== source);
-    sources = [{ version: announced, source }, ...others].slice(0, SOURCES_KEPT);
+  function handleAnnounced(announcedVersion: number, source: string, nowMs: number): void {
+    if (announcedVersion <= version) return;
+    const otherSources = sources.filter((candidate) => candidate.source !== source);
+    sources = [{ version: announcedVersion, source }, ...otherSources].slice(0, SOURCES_MAX);
     startFetch(nowMs);
   }
 
-  /** Forgets who offered what: a bad version is not asked for again until it is announced again. */
-  function refuseVersion(refused: number, reason: string): void {
+  /** Clears the sources, so that a rejected version is not fetched again until it is announced again. */
+  function refuseVersion(refusedVersion: number, reason: string): void {
     sources = [];
-    commands.push({ kind: 'reject', version: refused, reason });
+    commands.push({ kind: 'reject', version: refusedVersion, reason });
   }
 
   function handleFetched(message: Extract<KeeperMessage, { kind: 'fetched' }>): void {
-    fetching = undefined;
+    pendingFetch = undefined;
     if (message.version <= version) return;
     const manifest = parseManifest(message.manifest);
     const files = new Map<string, string>();
-    const kept = new Map<string, string>();
+    const manifestTexts = new Map<string, string>();
     for (const { name, hash } of manifest.files) {
       const text = texts.get(hash) ?? message.texts.get(hash);
       if (text === undefined || hashText(text) !== hash) {
-        refuseVersion(message.version, `${name} came without its text; it is fetched again`);
+        refuseVersion(
+          message.version,
+          `content of ${name} is missing or does not match its hash; waiting for another announcement`,
+        );
         return;
       }
       files.set(name, text);
-      kept.set(hash, text);
+      manifestTexts.set(hash, text);
     }
     const declarations = compiler.build(files, message.version);
     if (declarations.err) {
@@ -124,14 +124,14 @@
     );
     version = message.version;
     manifestText = message.manifest;
-    texts = kept;
+    texts = manifestTexts;
     commands.push({ kind: 'apply', declarations: declarations.val });
   }
 
   function handleTick(isPoller: boolean, nowMs: number): void {
-    const period = isPoller || version === 0 ? POLL_MS : POLL_IDLE_MS;
-    if (nowMs - polledMs >= period) {
-      polledMs = nowMs;
+    const pollIntervalMs = isPoller || version === 0 ? POLL_INTERVAL_MS : FALLBACK_POLL_INTERVAL_MS;
+    if (nowMs - lastPollMs >= pollIntervalMs) {
+      lastPollMs = nowMs;
       commands.push({ kind: 'poll' });
     }
     startFetch(nowMs);
@@ -147,8 +147,8 @@
         startFetch(nowMs);
         break;
       case 'fetch_failed':
-        fetching = undefined;
-        sources = sources.filter((known) => known.source !== message.source);
+        pendingFetch = undefined;
+        sources = sources.filter((candidate) => candidate.source !== message.source);
         startFetch(nowMs);
         break;
       case 'tick':
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of one declaration file, before files are merged. */
+/** Schema of a single declaration file, before files are merged. */
 import { z } from 'zod';
 import { FENCING, POOL_KIND } from '../types/declarations.js';
 
@@ -14,11 +14,11 @@
     'write sha256: and 64 hex digits, as `hyssoptally-ctl key` prints',
   );
 
-const TIERS_MAX = 16;
+const TIER_MAX = 16;
 const DAY_MS = 86_400_000;
 
 export const classSchema = z.strictObject({
-  tier: z.number().int().min(0).max(TIERS_MAX),
+  tier: z.number().int().min(0).max(TIER_MAX),
   firstTokenMs: z.number().positive().max(DAY_MS),
   betweenTokensMs: z.number().positive().max(DAY_MS),
   deadlineMs: z.number().positive().max(DAY_MS),
@@ -52,12 +52,10 @@
   endpoints: z.record(nameSchema, endpointSchema),
 });
 
-/** One file: any of the three sections. */
 export const fileSchema = z.strictObject({
   classes: z.record(nameSchema, classSchema).default({}),
   organisations: z.record(nameSchema, organisationSchema).default({}),
   pools: z.record(nameSchema, poolSchema).default({}),
 });
 
-/** A checked file. */
 export type DeclarationFile = z.infer<typeof fileSchema>;
--- a/src/knowledge/feed-watcher.test.ts
+++ b/src/knowledge/feed-watcher.test.ts
@@ -6,7 +6,7 @@
 import { startFeedWatcher } from './feed-watcher.js';
 
 const NEVER = new Promise<FeedAnswer>(() => {
-  // Settles never: the script is over.
+  // Never settles: no scripted response is left.
 });
 
 type Call = { readonly kind: 'list' } | { readonly kind: 'watch'; readonly waitMs: number };
@@ -15,23 +15,23 @@
   return { kind: 'rows', rows: [{ key, value: 'v' }], revision, sourceNowMs: 1, sentMs: 1 };
 }
 
-/** Runs a watcher on scripted answers; the last one never comes. */
-async function runWatcher(answers: readonly FeedAnswer[]) {
+/** Runs a watcher on scripted responses until they are used up. */
+async function runWatcher(responses: readonly FeedAnswer[]) {
   const calls: Call[] = [];
-  const told: string[] = [];
+  const events: string[] = [];
   let resets = 0;
   const timers = createTimerService(createSystemClock());
   const done = new Promise<void>((resolve) => {
-    const sendNext = async (call: Call): Promise<FeedAnswer> => {
-      const next = answers[calls.length];
+    const takeNextResponse = async (call: Call): Promise<FeedAnswer> => {
+      const next = responses[calls.length];
       calls.push(call);
       if (next !== undefined) return next;
       resolve();
       return NEVER;
     };
     const reader: FeedReader = {
-      list: () => sendNext({ kind: 'list' }),
-      watch: (_, waitMs) => sendNext({ kind: 'watch', waitMs }),
+      list: () => takeNextResponse({ kind: 'list' }),
+      watch: (_, waitMs) => takeNextResponse({ kind: 'watch', waitMs }),
       reset() {
         resets += 1;
       },
@@ -42,66 +42,62 @@
       random: createRandom(1),
       getWaitMs: () => 1500,
       listener: {
-        onListed: (_, { revision }) => told.push(`listed ${revision}`),
-        onChanged: (_, { revision }) => told.push(`changed ${revision}`),
-        onLost: (reason) => told.push(`lost ${reason}`),
+        onListed: (_, { revision }) => events.push(`listed ${revision}`),
+        onChanged: (_, { revision }) => events.push(`changed ${revision}`),
+        onLost: (reason) => events.push(`lost ${reason}`),
       },
     });
   });
   await done;
   timers.stop();
-  return { calls, told, resets };
+  return { calls, events, resets };
 }
 
 describe('feed watcher', ({ it }) => {
   it('lists once, then watches', async (t) => {
-    const { calls, told } = await runWatcher([buildRows(5), buildRows(6)]);
-    t.deepEqual(told, ['listed 5', 'changed 6']);
+    const { calls, events } = await runWatcher([buildRows(5), buildRows(6)]);
+    t.deepEqual(events, ['listed 5', 'changed 6']);
     t.deepEqual(
       calls.map(({ kind }) => kind),
       ['list', 'watch', 'watch'],
     );
   });
 
-  // The source forgets its history; the list that follows is read from a copy that lags behind, in
-  // which a removed row still stands. Applying it would bring the row back.
-  it('lists anew when the history is gone, and passes over a list that lags', async (t) => {
-    const { told } = await runWatcher([
+  // Guards against restoring a removed row from a stale list that follows a compaction.
+  it('lists again after a compaction and ignores a stale list', async (t) => {
+    const { events } = await runWatcher([
       buildRows(5),
       buildRows(9),
       { kind: 'compacted' },
       buildRows(7),
       buildRows(11),
     ]);
-    t.deepEqual(told, ['listed 5', 'changed 9', 'listed 11']);
+    t.deepEqual(events, ['listed 5', 'changed 9', 'listed 11']);
   });
 
-  // The source goes away: the connection is doubted, and the first call after it does not wait, so
-  // that its return is known at once.
-  it('asks without waiting after a failure, on a new connection', async (t) => {
-    const { calls, told, resets } = await runWatcher([
+  // Guards against detecting the source's recovery late because the first call waits for a change.
+  it('watches without waiting, on a new connection, after a failure', async (t) => {
+    const { calls, events, resets } = await runWatcher([
       buildRows(5),
       { kind: 'unavailable', reason: 'silent' },
       buildRows(5),
     ]);
-    t.deepEqual(told, ['listed 5', 'lost silent', 'changed 5']);
+    t.deepEqual(events, ['listed 5', 'lost silent', 'changed 5']);
     t.is(resets, 1);
     t.like(calls[2], { kind: 'watch', waitMs: 0 });
     t.like(calls[3], { kind: 'watch', waitMs: 1500 });
   });
 
-  // An instance starts while the store's lists are seconds behind: a key that was taken away still
-  // stands in its list. The list must not be waited on for 1.5 s as if it were the newest.
-  it('asks without waiting after a list, which alone says nothing of its own age', async (t) => {
+  // Guards against using a stale list, with a removed key in it, for a whole long-poll interval.
+  it('watches without waiting after a list', async (t) => {
     const { calls } = await runWatcher([buildRows(5), buildRows(6), buildRows(7)]);
     t.like(calls[1], { kind: 'watch', waitMs: 0 });
     t.like(calls[2], { kind: 'watch', waitMs: 1500 });
   });
 
-  // The store forgets its history while its lists lag seconds behind: each list is older than the
-  // history that is left, and each watch from it is refused at once. Sixty instances that list and
-  // watch without a pause would take the store's whole rate for nothing.
-  it('pauses between lists that are too old to go on from', async (t) => {
+  // Guards against listing and watching at full rate while the lists are older than the compacted
+  // history, which would use up the store's call rate.
+  it('backs off while lists are older than the compacted history', async (t) => {
     const startMs = performance.now();
     const { calls } = await runWatcher([
       buildRows(5),
@@ -112,12 +108,12 @@
       { kind: 'compacted' },
     ]);
     t.is(calls.length, 7);
-    t.true(performance.now() - startMs >= 290, 'three pauses of a tenth of a second');
+    t.true(performance.now() - startMs >= 290, 'three pauses of about 100 ms');
   });
 
-  // An instance stops following the store, hears from peers meanwhile, and takes it up again. Its
-  // old place in the feed would bring back what peers have told it is gone.
-  it('makes no call while it pauses, and goes on from what is known by then', async (t) => {
+  // Guards against restoring rows that peers reported as removed, by resuming at the revision
+  // before the pause.
+  it('makes no call while paused and resumes from the given revision', async (t) => {
     const calls: number[] = [];
     const timers = createTimerService(createSystemClock());
     const reader: FeedReader = {
@@ -139,18 +135,18 @@
         onLost: () => undefined,
       },
     });
-    const waitTurns = (): Promise<void> =>
+    const waitForCalls = (): Promise<void> =>
       new Promise((resolve) => {
         setTimeout(resolve, 50);
       });
-    await waitTurns();
+    await waitForCalls();
     t.deepEqual(calls, [5, 6]);
     watcher.pause();
     watcher.restart();
-    await waitTurns();
+    await waitForCalls();
     t.deepEqual(calls, [5, 6]);
     watcher.resume(9);
-    await waitTurns();
+    await waitForCalls();
     t.deepEqual(calls, [5, 6, 9]);
     watcher.stop();
     timers.stop();
--- a/src/knowledge/table-mirror.test.ts
+++ b/src/knowledge/table-mirror.test.ts
@@ -8,7 +8,7 @@
   return rows.map(({ key, value }) => ({ key, value })).sort((a, b) => a.key.localeCompare(b.key));
 }
 
-/** What a follower does with what an instance that watches answers. */
+/** Updates a follower from a watcher, as instances do. */
 function applyChanges(follower: TableMirror, watcher: TableMirror): void {
   const revision = watcher.getContentRevision();
   if (revision <= follower.getContentRevision()) return;
@@ -16,7 +16,7 @@
 }
 
 describe('table mirror', ({ it }) => {
-  it('tells what changed since a revision, removals too', (t) => {
+  it('lists changes and removals since a revision', (t) => {
     const mirror = createTableMirror();
     mirror.setAll(
       [
@@ -40,13 +40,13 @@
     });
   });
 
-  // Several instances watch, and each hears of one change in an answer of its own, at its own revision.
-  // Compared by these, two hundred followers would ask anew for what they have, once for each watcher.
-  it('stands at the same revision as any other that knows the same', (t) => {
-    const mirrors = [9, 12].map((answerRevision) => {
+  // Guards against followers fetching the same rows once per watcher because watchers receive one
+  // change in responses with different revisions.
+  it('has the same content revision as another mirror with the same rows', (t) => {
+    const mirrors = [9, 12].map((responseRevision) => {
       const mirror = createTableMirror();
       mirror.setAll([{ key: 'a', value: '1', revision: 3 }], 5);
-      mirror.apply([{ key: 'a', value: '2', revision: 7 }], answerRevision);
+      mirror.apply([{ key: 'a', value: '2', revision: 7 }], responseRevision);
       return mirror;
     });
     t.deepEqual(
@@ -55,7 +55,7 @@
     );
   });
 
-  it('takes what a later list lacks for removed', (t) => {
+  it('removes rows that are missing from a later list', (t) => {
     const mirror = createTableMirror();
     mirror.setAll([{ key: 'a', value: '1', revision: 3 }], 5);
     mirror.setAll([], 9);
@@ -63,10 +63,9 @@
     t.deepEqual(mirror.listSince(5), { kind: 'all', rows: [] });
   });
 
-  // An engine registers, one watcher tells of it, and it is gone before the other watcher lists: that one
-  // never knew it. The first watcher dies. Who was told would send prompts to an engine that is gone
-  // until something else changes, unless the list is news to it.
-  it('lets a follower drop what came and went between two lists', (t) => {
+  // Guards against calls to an endpoint that was added and removed between two lists of one
+  // watcher, while another watcher announced it and died.
+  it('lets a follower drop a row added and removed between two lists', (t) => {
     const [first, second, follower] = [1, 1, 1].map((revision) => {
       const mirror = createTableMirror();
       mirror.setAll([], revision);
@@ -80,7 +79,7 @@
     t.deepEqual(follower.list(), []);
   });
 
-  it('remembers a bounded number of removals, and gives everything to who lacks an older one', (t) => {
+  it('keeps a bounded number of tombstones and lists all rows for older revisions', (t) => {
     const mirror = createTableMirror();
     mirror.setAll([], 1);
     for (let revision = 2; revision < 1000; revision += 1) {
@@ -90,17 +89,16 @@
     t.is(mirror.listSince(990).rows.length, 9);
   });
 
-  // A runner leaves. Instances that do not watch ask now this, now that instance which does, and
-  // those are told of changes at different moments and in different batches, some after a list of
-  // everything. A follower that missed one removal would go on calling a runner that is gone.
-  it('keeps a follower of several watchers complete, whatever each of them has seen', (t) => {
+  // Guards against a follower missing a removal when it asks different watchers, which receive
+  // changes at different times, in different batches and partly from lists.
+  it('keeps a follower of several watchers complete, whatever each has received', (t) => {
     const change = fc.record({
       key: fc.constantFrom('a', 'b', 'c', 'd'),
       isRemoved: fc.boolean(),
-      /** Which watchers hear of everything so far, and whether from a list. */
-      hears: fc.tuple(fc.boolean(), fc.boolean()),
-      lists: fc.boolean(),
-      asks: fc.nat(1),
+      /** Which watchers receive all changes so far. */
+      isUpdated: fc.tuple(fc.boolean(), fc.boolean()),
+      isList: fc.boolean(),
+      askedWatcher: fc.nat(1),
     });
     fc.assert(
       fc.property(fc.array(change, { maxLength: 40 }), fc.boolean(), (changes, hasRevisions) => {
@@ -120,7 +118,7 @@
               revision,
             );
         };
-        for (const { key, isRemoved, hears, lists, asks } of changes) {
+        for (const { key, isRemoved, isUpdated, isList, askedWatcher } of changes) {
           const value = isRemoved ? undefined : `${log.length}`;
           const revision = log.length + 2;
           const row: FeedRow = { key, value, ...(hasRevisions ? { revision } : {}) };
@@ -128,9 +126,9 @@
           else source.set(key, row);
           log.push({ row, revision });
           watchers.forEach((watcher, index) => {
-            if (hears[index] === true) updateWatcher(watcher, lists);
+            if (isUpdated[index] === true) updateWatcher(watcher, isList);
           });
-          applyChanges(follower, watchers[asks] as TableMirror);
+          applyChanges(follower, watchers[askedWatcher] as TableMirror);
         }
         updateWatcher(watchers[0] as TableMirror, false);
         applyChanges(follower, watchers[0] as TableMirror);
--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams between instances: told loads and gossip. Both are small, frequent, and replaced or
- * repeated where one is lost; as calls over HTTP/2 they take several times the processor time.
+ * UDP datagrams between instances, for frequent small messages that are repeated or superseded if
+ * lost. They take much less processor time than calls over HTTP/2.
  */
 import { timingSafeEqual } from 'node:crypto';
 import { createSocket } from 'node:dgram';
@@ -17,47 +17,45 @@
 import type { KnowledgeSummary } from './peer-links.js';
 import type { PeerTelling } from './peer-telling.js';
 
-/** Datagrams to and from peers. */
 export interface Datagrams {
   sendLoads(
-    telling: AddressedLoadUpdate,
+    update: AddressedLoadUpdate,
     knowledge: KnowledgeSummary,
     time: PeerTime | undefined,
   ): void;
   sendGossip(address: string, body: PeerMessage['body']): void;
   sendCases(addresses: readonly string[], cases: readonly CaseReport[]): void;
-  sendUsage(addresses: readonly string[], telling: UsageUpdate): void;
+  sendUsage(addresses: readonly string[], update: UsageUpdate): void;
   close(): void;
 }
 
-/** What the datagrams are built on. */
 export interface DatagramsOptions {
   readonly self: string;
   readonly dataCentre: string;
-  /** Shared by all instances; datagrams without it are passed over. */
+  /** Shared by all instances; datagrams with another secret are reported to `onError` and dropped. */
   readonly secret: string;
   readonly host: string;
   readonly port: number;
-  readonly onTold: (told: PeerTelling) => void;
+  readonly onTold: (status: PeerTelling) => void;
   readonly onGossip: (from: string, body: PeerMessage['body']) => void;
   readonly onCases: (from: string, cases: readonly CaseReport[]) => void;
-  readonly onUsage: (telling: UsageUpdate) => void;
-  /** A peer of a newer release sent something that this one does not know. */
+  readonly onUsage: (update: UsageUpdate) => void;
+  /** Called for a message kind or value of a newer release, which is ignored. */
   readonly onUnknown: (field: string, value: string) => void;
-  /** A datagram that could not be sent or understood. */
+  /** Called if a datagram cannot be sent, authenticated or decoded. */
   readonly onError: (reason: string) => void;
 }
 
-/** Opens the socket. */
+/** Binds the socket. */
 export function openDatagrams(options: DatagramsOptions): Datagrams {
   const { self, dataCentre, secret } = options;
   const expected = Buffer.from(secret);
   const socket = createSocket('udp4');
 
   function handleLoad(from: string, load: TellLoad): void {
-    const told = decodeTelling(from, load);
-    if (told === undefined) options.onUnknown('scope', String(load.scope));
-    else options.onTold(told);
+    const status = decodeTelling(from, load);
+    if (status === undefined) options.onUnknown('scope', String(load.scope));
+    else options.onTold(status);
   }
 
   function handleDatagram({ from, secret: given, body }: Datagram): void {
@@ -100,14 +98,14 @@
   socket.bind(options.port, options.host);
 
   return {
-    sendLoads(telling, knowledge, time) {
-      for (const value of encodeTelling(telling, dataCentre, knowledge, time)) {
+    sendLoads(update, knowledge, time) {
+      for (const value of encodeTelling(update, dataCentre, knowledge, time)) {
         const body = { case: 'load', value } as const;
         const bytes = toBinary(
           DatagramSchema,
           create(DatagramSchema, { from: self, secret, body }),
         );
-        for (const address of telling.addresses) sendBytes(address, bytes);
+        for (const address of update.addresses) sendBytes(address, bytes);
       }
     },
     sendGossip(address, body) {
@@ -123,8 +121,8 @@
       const bytes = toBinary(DatagramSchema, create(DatagramSchema, { from: self, secret, body }));
       for (const address of addresses) sendBytes(address, bytes);
     },
-    sendUsage(addresses, telling) {
-      for (const value of encodeUsage(telling)) {
+    sendUsage(addresses, update) {
+      for (const value of encodeUsage(update)) {
         const body = { case: 'usage', value } as const;
         const bytes = toBinary(
           DatagramSchema,
--- a/src/quarantine/crash-detector.test.ts
+++ b/src/quarantine/crash-detector.test.ts
@@ -48,7 +48,11 @@
 
 describe('crash detector', ({ it }) => {
   it('reports all interrupted answers of an endpoint that refuses connections, after one check', async (t) => {
-    const { detector, crashes, countChecks } = createSetup(CONNECTION_RESULT.Refused);
+    const {
+      detector,
+      crashes,
+      countChecks: countQuestions,
+    } = createSetup(CONNECTION_RESULT.Refused);
     detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
     detector.recordInterrupted(ENDPOINT, buildAnswer('y', 1));
     await waitForPromises();
@@ -59,7 +63,7 @@
         evidence: 'connection refused',
       },
     ]);
-    t.is(countChecks(), 1);
+    t.is(countQuestions(), 1);
   });
 
   it('reports no crash when the endpoint still accepts connections', async (t) => {
@@ -87,9 +91,13 @@
   // Guards against missing a crash that left connections open: callers abandon their answers before
   // the registry reports the crash.
   it('reports a crash from the registry for answers abandoned after a silence', (t) => {
-    const { detector, crashes, countChecks } = createSetup(CONNECTION_RESULT.Accepted);
+    const {
+      detector,
+      crashes,
+      countChecks: countQuestions,
+    } = createSetup(CONNECTION_RESULT.Accepted);
     detector.recordAbandoned(ENDPOINT, buildAnswer('x'));
-    t.is(countChecks(), 0);
+    t.is(countQuestions(), 0);
     detector.recordEnded(ENDPOINT);
     t.deepEqual(crashes, [
       { endpoint: ENDPOINT, answers: [buildAnswer('x')], evidence: 'start ended' },
