--- a/src/gateway/knowledge-store.test.ts
+++ b/src/gateway/knowledge-store.test.ts
@@ -1,11 +1,11 @@
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
-import type { FeedAnswer, FeedReader, FeedRow } from '../knowledge/feed.js';
+import type { FeedResponse, FeedReader, FeedRow } from '../knowledge/feed.js';
 import { createSystemClock } from '../runtime/clock.js';
 import { createTimerService } from '../runtime/timer-service.js';
 import type { RegisteredEndpoint, TrafficConfiguration } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
-import type { WatchDuty } from '../knowledge/watch-duty.js';
+import type { WatchRole } from '../knowledge/watch-role.js';
 import { createKnowledgeStore } from './knowledge-store.js';
 import type { KnowledgeStore, RowDecoder } from './knowledge-store.js';
 
@@ -15,13 +15,13 @@
 /** Timers count whole milliseconds, so one can fire up to this much early. */
 const TIMER_EARLY_MS = 1;
 
-const WATCH: WatchDuty = {
+const WATCH: WatchRole = {
   kind: 'watch',
   isListed: true,
   isLeading: true,
   pauseFactor: 1,
 };
-const FOLLOW: WatchDuty = { kind: 'follow' };
+const FOLLOW: WatchRole = { kind: 'follow' };
 
 const DECODER: RowDecoder = {
   decodeConfiguration(row): TrafficConfiguration | undefined {
@@ -55,8 +55,9 @@
   let isWatchAnswered = true;
   const changes: FeedRow[] = [];
   let pendingWatch:
-    { readonly sinceRevision: number; readonly resolve: (answer: FeedAnswer) => void } | undefined;
-  const buildAnswer = (answered: readonly FeedRow[]): FeedAnswer => {
+    | { readonly sinceRevision: number; readonly resolve: (answer: FeedResponse) => void }
+    | undefined;
+  const buildAnswer = (answered: readonly FeedRow[]): FeedResponse => {
     if (!isReachable) return { kind: 'unavailable', reason: 'the store is out of reach' };
     const nowMs = performance.now();
     return { kind: 'rows', rows: answered, revision, sourceNowMs: nowMs, sentMs: nowMs };
