--- a/src/test/played-network.ts
+++ b/src/test/played-network.ts
@@ -3,7 +3,7 @@
 import type { Contact } from '../membership/membership-messages.js';
 import type { Datagrams } from '../peers/datagrams.js';
 import { decodeCases, encodeCases } from '../peers/encode-cases.js';
-import { decodeTelling, encodeTelling } from '../peers/encode-telling.js';
+import { decodeLoadUpdate, encodeLoadUpdate } from '../peers/encode-load-update.js';
 import type { PeerLinks } from '../peers/peer-links.js';
 import type { VirtualTime } from '../soak/virtual-time.js';
 import type { Random } from '../utils/random.js';
@@ -58,18 +58,19 @@
       queryAttempt: refuse,
     }),
     createDatagrams: ({ name, dataCentre }) => ({
-      sendLoads(telling, knowledge, sentTime) {
-        for (const load of encodeTelling(telling, dataCentre, knowledge, sentTime)) {
-          const told = decodeTelling(name, load);
-          for (const address of telling.addresses) {
-            if (told !== undefined) sendDatagram(address, (peer) => peer.handlePeerStatus(told));
+      sendLoads(update, knowledge, sentTime) {
+        for (const load of encodeLoadUpdate(update, dataCentre, knowledge, sentTime)) {
+          const status = decodeLoadUpdate(name, load);
+          for (const address of update.addresses) {
+            if (status !== undefined)
+              sendDatagram(address, (peer) => peer.handlePeerStatus(status));
           }
         }
       },
       sendCases(addresses, cases) {
-        const told = decodeCases(encodeCases(cases));
+        const reports = decodeCases(encodeCases(cases));
         for (const address of addresses) {
-          sendDatagram(address, (peer) => peer.handleCases(name, told));
+          sendDatagram(address, (peer) => peer.handleCases(name, reports));
         }
       },
       sendUsage: () => undefined,
