--- a/src/test/crash-play.ts
+++ b/src/test/crash-play.ts
@@ -13,13 +13,13 @@
 import { buildContacts } from './played-contacts.js';
 import { createPlayedInstance } from './played-instance.js';
 import type { PlayedInstance } from './played-instance.js';
-import { createPlayedLeases } from './played-leases.js';
+import { createSimulatedTrialLeases } from './simulated-trial-leases.js';
 import { createPlayedNetwork } from './played-network.js';
 import { buildCall } from './played-routes.js';
 import type { PlayedRoute } from './played-routes.js';
 
 /** A request that comes again and again, each time under a new id. */
-export interface PlayedRepeat {
+export interface RepeatedRequest {
   readonly content: ContentId;
   readonly played: PlayedRoute;
   /** Whether engines end under it. */
@@ -34,7 +34,7 @@
   readonly instances: number;
   readonly engines: number;
   readonly dataCentres: number;
-  readonly repeats: readonly PlayedRepeat[];
+  readonly repeats: readonly RepeatedRequest[];
   /** Ordinary calls. */
   readonly routes: readonly PlayedRoute[];
   /** Engines that end for reasons of their own: when, and which. */
@@ -43,7 +43,7 @@
 }
 
 /** What the caller of one call saw. */
-export interface SeenCall {
+export interface ObservedCall {
   readonly content: ContentId;
   readonly receivedMs: number;
   end: 'whole' | 'refused' | 'failed' | 'none';
@@ -53,7 +53,7 @@
 
 /** What a play showed. */
 export interface CrashPlayRecord {
-  readonly calls: readonly SeenCall[];
+  readonly calls: readonly ObservedCall[];
   readonly sends: readonly CulpritSend[];
   readonly ends: CrashingEngines['ends'];
 }
@@ -61,11 +61,11 @@
 const SLOTS = 64;
 const QUEUE_MAX = 64;
 /** Time for the fleet to find itself before calls arrive, in milliseconds. */
-const SETTLING_MS = 4000;
+const WARM_UP_MS = 4000;
 /** Time after the last arrival in which everything ends, in milliseconds. */
-const REST_MS = 10_000;
+const DRAIN_MS = 10_000;
 
-interface Play {
+interface Simulation {
   readonly options: CrashPlayOptions;
   readonly time: VirtualTime;
   readonly random: Random;
@@ -73,10 +73,10 @@
   readonly instances: readonly PlayedInstance[];
   readonly timers: readonly TimerService[];
   readonly pool: CrashingEngines;
-  readonly seen: SeenCall[];
+  readonly observedCalls: ObservedCall[];
 }
 
-function createPlay(options: CrashPlayOptions): Play {
+function createSimulation(options: CrashPlayOptions): Simulation {
   const time = createVirtualTime();
   const random = createRandom(options.seed);
   const calls = new Map<string, RoutedCall>();
@@ -101,23 +101,23 @@
       for (const { quarantine } of instances) quarantine.recordEnded(endpoint);
     },
   });
-  const leases = createPlayedLeases(time);
+  const leases = createSimulatedTrialLeases(time);
   const network = createPlayedNetwork(time, createRandom(options.seed + 1));
   const contacts = buildContacts(options.instances, options.dataCentres);
-  const standings = createRouteRanks(
+  const ranks = createRouteRanks(
     [...options.routes, ...options.repeats.map(({ played }) => played)].map(({ route }) => route),
   );
   contacts.forEach((self, index) => {
-    const own = time.createTimers(createActor(self.name), 0);
-    timers.push(own);
+    const instanceTimers = time.createTimers(createActor(self.name), 0);
+    timers.push(instanceTimers);
     const instance = createPlayedInstance({
       self,
       contacts,
-      timers: own,
+      timers: instanceTimers,
       random: createRandom(options.seed * 1000 + index),
       network,
       listOpen: () => registered,
-      standings,
+      standings: ranks,
       connections: pool.connections,
       takeTrialLease: leases.take,
       checkConnection: (address) => pool.checkConnection(address),
@@ -126,11 +126,11 @@
     network.add(self.address, instance.exchange);
     instances.push(instance);
   });
-  return { options, time, random, calls, instances, timers, pool, seen: [] };
+  return { options, time, random, calls, instances, timers, pool, observedCalls: [] };
 }
 
-function createSink(result: SeenCall): CallSink {
-  const setEnd = (end: SeenCall['end']): void => {
+function createSink(result: ObservedCall): CallSink {
+  const setEnd = (end: ObservedCall['end']): void => {
     result.end = end;
   };
   return {
@@ -148,63 +148,67 @@
 
 /** Starts one call at an instance. */
 function startCall(
-  play: Play,
+  simulation: Simulation,
   instance: number,
-  played: PlayedRoute,
+  simulatedRoute: PlayedRoute,
   content: ContentId | undefined,
 ): void {
-  const { time, random, calls, instances, seen } = play;
+  const { time, random, calls, instances, observedCalls } = simulation;
   const callId = `call-${calls.size}`;
-  const built = buildCall(played, callId, time.getNow(), random);
+  const built = buildCall(simulatedRoute, callId, time.getNow(), random);
   const call: RoutedCall = { ...built, contentId: content ?? callId };
   calls.set(callId, call);
-  const result: SeenCall = {
+  const result: ObservedCall = {
     content: call.contentId,
-    receivedMs: time.getNow() - SETTLING_MS,
+    receivedMs: time.getNow() - WARM_UP_MS,
     end: 'none',
     retryAfterMs: undefined,
   };
-  seen.push(result);
+  observedCalls.push(result);
   (instances[instance % instances.length] as PlayedInstance).runner.run(call, createSink(result));
 }
 
 /** Lets the calls of a route arrive at random. */
-function addArrivals(play: Play, played: PlayedRoute): void {
-  const { options, time, random, instances } = play;
+function addArrivals(simulation: Simulation, simulatedRoute: PlayedRoute): void {
+  const { options, time, random, instances } = simulation;
   const addNext = (): void => {
-    if (time.getNow() - SETTLING_MS >= options.lengthMs) return;
-    time.add(undefined, (-Math.log(1 - random.next()) * 1000) / played.callsPerSecond, () => {
-      startCall(play, random.nextIndex(instances.length), played, undefined);
-      addNext();
-    });
+    if (time.getNow() - WARM_UP_MS >= options.lengthMs) return;
+    time.add(
+      undefined,
+      (-Math.log(1 - random.next()) * 1000) / simulatedRoute.callsPerSecond,
+      () => {
+        startCall(simulation, random.nextIndex(instances.length), simulatedRoute, undefined);
+        addNext();
+      },
+    );
   };
   addNext();
 }
 
 /** Copies of one moment come to instances beside each other. */
-function addRepeats(play: Play, { atMs, played, content }: PlayedRepeat): void {
-  const { time, random, instances } = play;
+function addRepeats(simulation: Simulation, { atMs, played, content }: RepeatedRequest): void {
+  const { time, random, instances } = simulation;
   let instance = 0;
   atMs.forEach((ms, index) => {
     if (ms !== atMs[index - 1]) instance = random.nextIndex(instances.length);
     else instance += 1;
     const chosen = instance;
-    time.add(undefined, ms, () => startCall(play, chosen, played, content));
+    time.add(undefined, ms, () => startCall(simulation, chosen, played, content));
   });
 }
 
 /** Plays it and returns what callers and engines saw. */
 export async function runCrashPlay(options: CrashPlayOptions): Promise<CrashPlayRecord> {
-  const play = createPlay(options);
-  const { time, pool, timers, seen } = play;
-  await time.runUntil(SETTLING_MS);
-  for (const played of options.routes) addArrivals(play, played);
-  for (const repeat of options.repeats) addRepeats(play, repeat);
+  const simulation = createSimulation(options);
+  const { time, pool, timers, observedCalls } = simulation;
+  await time.runUntil(WARM_UP_MS);
+  for (const simulatedRoute of options.routes) addArrivals(simulation, simulatedRoute);
+  for (const repeat of options.repeats) addRepeats(simulation, repeat);
   for (const { atMs, engine } of options.crashes ?? []) {
     time.add(undefined, atMs, () => pool.crash(engine));
   }
-  await time.runUntil(SETTLING_MS + options.lengthMs + REST_MS);
-  timers.forEach((own) => own.stop());
+  await time.runUntil(WARM_UP_MS + options.lengthMs + DRAIN_MS);
+  timers.forEach((instanceTimers) => instanceTimers.stop());
   const { sends, ends } = pool;
-  return { calls: seen, sends, ends };
+  return { calls: observedCalls, sends, ends };
 }
--- a/src/test/crashing-engines.ts
+++ b/src/test/crashing-engines.ts
@@ -15,11 +15,11 @@
 import type { SimulatedEngine } from './simulated-engine.js';
 
 /** The registry misses an engine this long after its end, in milliseconds. */
-const LAPSE_MS = 2700;
+const DEREGISTRATION_MS = 2700;
 /** Another start is there this long after an end, in milliseconds. */
-const RETURN_MS = 3300;
+const RESTART_MS = 3300;
 /** A connection to a dead engine is refused, and a broken one seen, after this long, in milliseconds. */
-const NETWORK_MS = 1;
+const CONNECTION_ERROR_MS = 1;
 
 /** What the pool is made of. */
 export interface CrashingEnginesOptions {
@@ -55,7 +55,7 @@
 }
 
 /** One start of an engine. */
-interface EngineStart {
+interface EngineProcess {
   readonly endpoint: RegisteredEndpoint;
   readonly engine: SimulatedEngine;
   /** Answers under way. */
@@ -65,7 +65,7 @@
 /** Builds the pool and registers its first starts. */
 export function createCrashingEngines(options: CrashingEnginesOptions): CrashingEngines {
   const { time } = options;
-  const starts = new Map<string, EngineStart>();
+  const processes = new Map<string, EngineProcess>();
   const sends: CulpritSend[] = [];
   const ends: { content: ContentId | undefined; atMs: number }[] = [];
   let started = 0;
@@ -84,36 +84,36 @@
       isSpot: false,
     };
     const engine = createSimulatedEngine(time, options);
-    starts.set(endpoint.address, { endpoint, engine, listeners: new Set() });
+    processes.set(endpoint.address, { endpoint, engine, listeners: new Set() });
     options.onRegistered(endpoint);
   }
 
   function stopEngine(index: number, content: ContentId | undefined): void {
     const address = `address-${index}`;
-    const start = starts.get(address);
-    if (start === undefined) return;
-    starts.delete(address);
+    const engineProcess = processes.get(address);
+    if (engineProcess === undefined) return;
+    processes.delete(address);
     ends.push({ content, atMs: time.getNow() });
-    for (const listener of start.listeners) {
-      time.add(undefined, NETWORK_MS, () => listener.onError(true, 'other side closed'));
+    for (const listener of engineProcess.listeners) {
+      time.add(undefined, CONNECTION_ERROR_MS, () => listener.onError(true, 'other side closed'));
     }
-    start.listeners.clear();
-    time.add(undefined, LAPSE_MS, () => options.onRemoved(start.endpoint));
-    time.add(undefined, RETURN_MS, () => startEngine(index));
+    engineProcess.listeners.clear();
+    time.add(undefined, DEREGISTRATION_MS, () => options.onRemoved(engineProcess.endpoint));
+    time.add(undefined, RESTART_MS, () => startEngine(index));
   }
 
   function open(address: string, callId: string, listener: ExchangeListener): () => void {
     const call = options.calls.get(callId) as RoutedCall;
-    const start = starts.get(address);
-    if (start === undefined) {
-      time.add(undefined, NETWORK_MS, () => listener.onError(false, 'refused'));
+    const engineProcess = processes.get(address);
+    if (engineProcess === undefined) {
+      time.add(undefined, CONNECTION_ERROR_MS, () => listener.onError(false, 'refused'));
       return () => undefined;
     }
     const isCulprit = options.culprits.has(call.contentId);
     if (isCulprit) sends.push({ content: call.contentId, atMs: time.getNow() });
-    start.listeners.add(listener);
-    const isOpen = (): boolean => start.listeners.has(listener);
-    const cancel = start.engine.start(call, {
+    engineProcess.listeners.add(listener);
+    const isOpen = (): boolean => engineProcess.listeners.has(listener);
+    const cancel = engineProcess.engine.start(call, {
       onHead: (status, headers) => isOpen() && listener.onHead(status, headers),
       onData(bytes) {
         if (!isOpen()) return false;
@@ -122,12 +122,12 @@
         return false;
       },
       onEnd() {
-        if (start.listeners.delete(listener)) listener.onEnd();
+        if (engineProcess.listeners.delete(listener)) listener.onEnd();
       },
       onError: (isSent, reason) => listener.onError(isSent, reason),
     });
     return () => {
-      start.listeners.delete(listener);
+      engineProcess.listeners.delete(listener);
       cancel();
     };
   }
@@ -143,8 +143,8 @@
     },
     checkConnection: (address) =>
       new Promise((resolve) => {
-        time.add(undefined, NETWORK_MS, () =>
-          resolve(starts.has(address) ? CONNECTION_RESULT.Accepted : CONNECTION_RESULT.Refused),
+        time.add(undefined, CONNECTION_ERROR_MS, () =>
+          resolve(processes.has(address) ? CONNECTION_RESULT.Accepted : CONNECTION_RESULT.Refused),
         );
       }),
     sends,
--- a/src/test/fleet-play.ts
+++ b/src/test/fleet-play.ts
@@ -23,7 +23,7 @@
 import type { SimulatedEngine } from './simulated-engine.js';
 
 /** A time in which more calls come. */
-export interface PlayedBurst {
+export interface Burst {
   readonly fromMs: number;
   readonly toMs: number;
   readonly factor: number;
@@ -37,7 +37,7 @@
   readonly queueMax: number;
   readonly routes: readonly PlayedRoute[];
   /** Counted from the first arrival. */
-  readonly burst: PlayedBurst;
+  readonly burst: Burst;
   /** How long calls arrive. */
   readonly lengthMs: number;
   /**
@@ -62,36 +62,36 @@
   readonly route: string;
   /** Counted from the first arrival. */
   readonly receivedMs: number;
-  firstMs: number | undefined;
+  firstEventMs: number | undefined;
   /** The longest pause between two events, in milliseconds. */
-  pauseMs: number;
+  maxGapMs: number;
   end: 'whole' | 'refused' | 'left' | 'failed' | 'none';
   /** Whole, begun within the target and without a pause over what the route declares. */
   isInTime: boolean;
 }
 
 /** What a play showed. */
-export interface PlayRecord {
+export interface FleetSimulationResult {
   readonly calls: readonly PlayedCall[];
   /** Mean difference between the calls that a chooser held for under way at an engine and those that were. */
   readonly meanBeliefError: number;
   /** Attempts that a full engine turned away. */
-  readonly turnedAway: number;
+  readonly rejectedAttempts: number;
   /** Datagrams that an instance sent in a second, in the mean. */
   readonly datagramsPerSecond: number;
 }
 
 /** A caller leaves an answer that does not begin within the longest of this, in milliseconds, and these multiples of what the route declares. */
-const PATIENCE_MIN_MS = 2000;
-const PATIENCE_TARGETS = 4;
-const PATIENCE_GAPS = 8;
+const FIRST_EVENT_TIMEOUT_MIN_MS = 2000;
+const FIRST_EVENT_TIMEOUT_TARGETS = 4;
+const FIRST_EVENT_TIMEOUT_GAPS = 8;
 /** Time after the last arrival in which everything ends, in milliseconds. */
-const REST_MS = 12_000;
+const DRAIN_MS = 12_000;
 /** Instances start within this time, in milliseconds. */
 const START_SPREAD_MS = 300;
 
 /** What the parts of a play share. */
-interface Play {
+interface Simulation {
   readonly options: PlayOptions;
   readonly time: VirtualTime;
   readonly random: Random;
@@ -101,11 +101,15 @@
   /** Calls by id: an exchange with an engine names its call only. */
   readonly calls: Map<string, RoutedCall>;
   /** When the first calls arrive. */
-  readonly fromMs: number;
+  readonly arrivalsStartMs: number;
 }
 
-function computePatienceMs({ targetMs, gapTargetMs = 0 }: Route): number {
-  return Math.max(PATIENCE_MIN_MS, targetMs * PATIENCE_TARGETS, gapTargetMs * PATIENCE_GAPS);
+function computeFirstEventTimeoutMs({ targetMs, gapTargetMs = 0 }: Route): number {
+  return Math.max(
+    FIRST_EVENT_TIMEOUT_MIN_MS,
+    targetMs * FIRST_EVENT_TIMEOUT_TARGETS,
+    gapTargetMs * FIRST_EVENT_TIMEOUT_GAPS,
+  );
 }
 
 function buildEndpoints(options: PlayOptions): readonly RegisteredEndpoint[] {
@@ -126,7 +130,7 @@
   });
 }
 
-function createConnections({ engines, calls }: Play): EndpointConnections {
+function createConnections({ engines, calls }: Simulation): EndpointConnections {
   return {
     open(address, _connectionsMax, { target }, listener) {
       const call = calls.get(target) as RoutedCall;
@@ -140,25 +144,25 @@
 
 /** Starts the instances of a fleet, one after the other within a moment. */
 function startFleet(
-  play: Play,
+  simulation: Simulation,
   onAttempt: (record: AttemptRecord) => void,
 ): { readonly instances: readonly PlayedInstance[]; readonly timers: readonly TimerService[] } {
-  const { options, time, network, endpoints } = play;
+  const { options, time, network, endpoints } = simulation;
   const contacts = buildContacts(options.instances ?? 1, options.dataCentres ?? 1);
   const instances: PlayedInstance[] = [];
   const timers: TimerService[] = [];
-  const startOne = (self: Contact, index: number): void => {
-    const own = time.createTimers(createActor(self.name), 0);
-    timers.push(own);
+  const startInstance = (self: Contact, index: number): void => {
+    const instanceTimers = time.createTimers(createActor(self.name), 0);
+    timers.push(instanceTimers);
     const instance = createPlayedInstance({
       self,
       contacts,
-      timers: own,
+      timers: instanceTimers,
       random: createRandom(options.seed * 1000 + index),
       network,
       listOpen: () => endpoints,
       standings: createRouteRanks(options.routes.map(({ route }) => route)),
-      connections: createConnections(play),
+      connections: createConnections(simulation),
       takeTrialLease: () => Promise.resolve(false),
       checkConnection: () => Promise.resolve(CONNECTION_RESULT.Accepted),
       onAttempt,
@@ -167,33 +171,35 @@
     instances.push(instance);
   };
   contacts.forEach((self, index) => {
-    if (index === 0) startOne(self, index);
+    if (index === 0) startInstance(self, index);
     else
-      time.add(undefined, (START_SPREAD_MS * index) / contacts.length, () => startOne(self, index));
+      time.add(undefined, (START_SPREAD_MS * index) / contacts.length, () =>
+        startInstance(self, index),
+      );
   });
   return { instances, timers };
 }
 
 /** Records what the caller of one call sees. */
-function createCaller(
-  { time, fromMs }: Play,
+function createCallObserver(
+  { time, arrivalsStartMs }: Simulation,
   { name, targetMs, gapTargetMs = Infinity }: Route,
 ): { readonly result: PlayedCall; readonly sink: CallSink; setEnd(end: PlayedCall['end']): void } {
   const startedMs = time.getNow();
   let lastMs: number | undefined;
   const result: PlayedCall = {
     route: name,
-    receivedMs: startedMs - fromMs,
-    firstMs: undefined,
-    pauseMs: 0,
+    receivedMs: startedMs - arrivalsStartMs,
+    firstEventMs: undefined,
+    maxGapMs: 0,
     end: 'none',
     isInTime: false,
   };
   const setEnd = (end: PlayedCall['end']): void => {
     if (result.end !== 'none') return;
-    const { firstMs = Infinity, pauseMs } = result;
+    const { firstEventMs = Infinity, maxGapMs } = result;
     result.end = end;
-    result.isInTime = end === 'whole' && firstMs <= targetMs && pauseMs <= gapTargetMs;
+    result.isInTime = end === 'whole' && firstEventMs <= targetMs && maxGapMs <= gapTargetMs;
   };
   return {
     result,
@@ -202,8 +208,8 @@
       onHead: () => undefined,
       onEvent() {
         const nowMs = time.getNow();
-        result.firstMs ??= nowMs - startedMs;
-        result.pauseMs = Math.max(result.pauseMs, nowMs - (lastMs ?? nowMs));
+        result.firstEventMs ??= nowMs - startedMs;
+        result.maxGapMs = Math.max(result.maxGapMs, nowMs - (lastMs ?? nowMs));
         lastMs = nowMs;
       },
       onEnd: () => setEnd('whole'),
@@ -215,37 +221,41 @@
 }
 
 /** Starts one call and its caller, who leaves an answer that is too late. */
-function startCall(play: Play, runner: CallRunner, played: PlayedRoute): PlayedCall {
-  const { time, calls } = play;
-  const { route } = played;
-  const call = buildCall(played, `call-${calls.size}`, time.getNow(), play.random);
+function startCall(
+  simulation: Simulation,
+  runner: CallRunner,
+  simulatedRoute: PlayedRoute,
+): PlayedCall {
+  const { time, calls } = simulation;
+  const { route } = simulatedRoute;
+  const call = buildCall(simulatedRoute, `call-${calls.size}`, time.getNow(), simulation.random);
   calls.set(call.callId, call);
-  const { result, sink, setEnd } = createCaller(play, route);
+  const { result, sink, setEnd } = createCallObserver(simulation, route);
   const running = runner.run(call, sink);
-  const leave = (): void => {
+  const cancelCall = (): void => {
     if (result.end !== 'none') return;
     setEnd('left');
     running.close();
   };
-  time.add(undefined, computePatienceMs(route), () => {
-    if (result.firstMs === undefined) leave();
+  time.add(undefined, computeFirstEventTimeoutMs(route), () => {
+    if (result.firstEventMs === undefined) cancelCall();
   });
-  time.add(undefined, route.timeoutMs, leave);
+  time.add(undefined, route.timeoutMs, cancelCall);
   return result;
 }
 
 /** Lets the calls of a route arrive at random. */
 function addArrivals(
-  { options, time, random, fromMs }: Play,
-  played: PlayedRoute,
+  { options, time, random, arrivalsStartMs }: Simulation,
+  simulatedRoute: PlayedRoute,
   start: () => void,
 ): void {
   const { burst } = options;
   const addNext = (): void => {
-    const nowMs = time.getNow() - fromMs;
+    const nowMs = time.getNow() - arrivalsStartMs;
     if (nowMs >= options.lengthMs) return;
     const isBurst = nowMs >= burst.fromMs && nowMs < burst.toMs;
-    const rate = played.callsPerSecond * (isBurst ? burst.factor : 1);
+    const rate = simulatedRoute.callsPerSecond * (isBurst ? burst.factor : 1);
     time.add(undefined, (-Math.log(1 - random.next()) * 1000) / rate, () => {
       start();
       addNext();
@@ -254,7 +264,7 @@
   addNext();
 }
 
-function createPlay(options: PlayOptions): Play {
+function createSimulation(options: PlayOptions): Simulation {
   const time = createVirtualTime();
   const endpoints = buildEndpoints(options);
   return {
@@ -267,37 +277,40 @@
     ),
     endpoints,
     calls: new Map(),
-    fromMs: options.settlingMs ?? 0,
+    arrivalsStartMs: options.settlingMs ?? 0,
   };
 }
 
 /** Plays it and returns what callers and choosers saw. */
-export async function runFleetPlay(options: PlayOptions): Promise<PlayRecord> {
-  const play = createPlay(options);
-  const { time, network, engines, random, fromMs } = play;
+export async function runFleetPlay(options: PlayOptions): Promise<FleetSimulationResult> {
+  const simulation = createSimulation(options);
+  const { time, network, engines, random, arrivalsStartMs } = simulation;
   let attempts = 0;
-  let error = 0;
-  const { instances, timers } = startFleet(play, ({ endpoint, load }) => {
+  let totalLoadError = 0;
+  const { instances, timers } = startFleet(simulation, ({ endpoint, load }) => {
     const engine = engines.get(endpoint.address) as SimulatedEngine;
     attempts += 1;
-    error += Math.abs(load.running - engine.count());
+    totalLoadError += Math.abs(load.running - engine.count());
   });
-  await time.runUntil(fromMs);
-  const seen: PlayedCall[] = [];
-  for (const played of options.routes) {
-    addArrivals(play, played, () => {
+  await time.runUntil(arrivalsStartMs);
+  const callResults: PlayedCall[] = [];
+  for (const simulatedRoute of options.routes) {
+    addArrivals(simulation, simulatedRoute, () => {
       const { runner } = instances[random.nextIndex(instances.length)] as PlayedInstance;
-      seen.push(startCall(play, runner, played));
+      callResults.push(startCall(simulation, runner, simulatedRoute));
     });
   }
-  await time.runUntil(fromMs + options.lengthMs + REST_MS);
-  timers.forEach((own) => own.stop());
-  const playedSeconds = (fromMs + options.lengthMs + REST_MS) / 1000;
+  await time.runUntil(arrivalsStartMs + options.lengthMs + DRAIN_MS);
+  timers.forEach((instanceTimers) => instanceTimers.stop());
+  const simulatedSeconds = (arrivalsStartMs + options.lengthMs + DRAIN_MS) / 1000;
   return {
-    calls: seen,
-    meanBeliefError: error / Math.max(1, attempts),
-    turnedAway: [...engines.values()].reduce((sum, engine) => sum + engine.countTurnedAway(), 0),
-    datagramsPerSecond: network.countSent() / instances.length / playedSeconds,
+    calls: callResults,
+    meanBeliefError: totalLoadError / Math.max(1, attempts),
+    rejectedAttempts: [...engines.values()].reduce(
+      (sum, engine) => sum + engine.countRejected(),
+      0,
+    ),
+    datagramsPerSecond: network.countSent() / instances.length / simulatedSeconds,
   };
 }
 
--- a/src/test/played-instance.ts
+++ b/src/test/played-instance.ts
@@ -21,10 +21,10 @@
 import type { Random } from '../utils/random.js';
 import { Ok } from '../utils/result.js';
 import type { PlayedNetwork } from './played-network.js';
-import { FULL_STATUS } from './simulated-engine.js';
+import { QUEUE_FULL_STATUS } from './simulated-engine.js';
 
 /** What an instance is played with. */
-export interface PlayedInstanceOptions {
+export interface SimulatedInstanceOptions {
   readonly self: Contact;
   /** The whole fleet, as the platform lists it. */
   readonly contacts: readonly Contact[];
@@ -48,7 +48,7 @@
 }
 
 /** Instances whose addresses all know when they start. */
-const SEEDS = 3;
+const SEED_COUNT = 3;
 /** As often as a gateway does, in milliseconds. */
 const QUARANTINE_TICK_MS = 100;
 
@@ -57,7 +57,7 @@
   encode: ({ callId }) => ({ method: 'POST', target: callId, headers: [], body: Buffer.alloc(0) }),
   decode: (status, [callId]) => ({
     callId: callId?.value,
-    isNotRun: status === FULL_STATUS,
+    isNotRun: status === QUEUE_FULL_STATUS,
     isWrongEndpoint: false,
     isSigned: true,
     isEventStream: true,
@@ -66,7 +66,7 @@
 };
 
 /** Starts an instance. */
-export function createPlayedInstance(options: PlayedInstanceOptions): PlayedInstance {
+export function createPlayedInstance(options: SimulatedInstanceOptions): PlayedInstance {
   const { self, timers, random, network, listOpen, standings } = options;
   const loads = createEndpointLoads();
   const quarantine = createQuarantine({
@@ -80,7 +80,7 @@
   const exchange = createPeerExchange({
     self,
     incarnation: 1,
-    seeds: options.contacts.slice(0, SEEDS).map(({ address }) => address),
+    seeds: options.contacts.slice(0, SEED_COUNT).map(({ address }) => address),
     timers,
     random,
     invariants: createInvariants(() => undefined),
--- a/src/test/played-lease.ts
+++ b/src/test/played-lease.ts
@@ -8,15 +8,15 @@
 /** The length of the lease, in milliseconds. */
 export const LENGTH_MS = 3000;
 /** The called side passes over what comes this soon after its sender woke or was reached again, in milliseconds. */
-const THAW_MS = 300;
+const RESUME_GRACE_MS = 300;
 const STEP_MS = 50;
 const TICK_STEPS = 2;
 /** A process that is told to leave goes on for at least this long, in milliseconds. */
 const DRAIN_MIN_MS = 2800;
 /** The longest that the store takes with a call, in milliseconds. */
-const STORE_MAX_MS = 6000;
+const STORE_LATENCY_MAX_MS = 6000;
 /** Most calls arrive at once, and some as late as they may. */
-const FLIGHT_SKEW = 6;
+const CALL_LATENCY_EXPONENT = 6;
 const EPOCH_MS = 1_700_000_000_000;
 
 /** What happens to a machine, or to the store. */
@@ -34,14 +34,14 @@
   /** It gives the lease up and wants it again a moment later. */
   Yield: 'yield',
   CutFromStore: 'cut_from_store',
-  CutFromCalled: 'cut_from_called',
+  CutFromReceiver: 'cut_from_called',
   Heal: 'heal',
   StepForward: 'step_forward',
   StepBack: 'step_back',
   StoreSlow: 'store_slow',
-  StoreLosing: 'store_losing',
-  StoreGone: 'store_gone',
-  StoreWell: 'store_well',
+  StoreLosingResponses: 'store_losing',
+  StoreUnavailable: 'store_gone',
+  StoreHealthy: 'store_well',
   /** The document vanishes. */
   Erase: 'erase',
 } as const;
@@ -54,12 +54,12 @@
 }
 
 /** A call as the called side got it. */
-export interface ArrivedCall {
+export interface ReceivedCall {
   readonly machine: string;
   readonly fence: number;
   readonly atMs: number;
   /** It came right after its sender woke or was reached again. */
-  readonly isExcused: boolean;
+  readonly isInGracePeriod: boolean;
 }
 
 /** What the parts of the play are; a mutant replaces one. */
@@ -71,23 +71,23 @@
   readonly name: string;
   readonly queue: LeaseMessage[];
   lease: Lease;
-  process: number;
+  generation: number;
   isFrozen: boolean;
   isSuspended: boolean;
-  isDownUntilMs: number;
+  downUntilMs: number;
   isLeaving: boolean;
   isCutFromStore: boolean;
-  isCutFromCalled: boolean;
+  isCutFromReceiver: boolean;
   monotonicMs: number;
   wallStepMs: number;
-  excusedUntilMs: number;
+  graceUntilMs: number;
   /** Calls on their way: while there is one the lease is not given up. */
   inFlight: number;
   /** Calls that were checked and not yet written when the machine stopped. */
-  unwritten: number[];
+  unsentFences: number[];
 }
 
-interface Delayed {
+interface DelayedAction {
   readonly atMs: number;
   readonly run: () => void;
 }
@@ -98,22 +98,22 @@
   steps: readonly PlayedStep[],
   random: Random,
   parts: LeaseParts = { createLease },
-): ArrivedCall[] {
-  const arrived: ArrivedCall[] = [];
-  let delayed: Delayed[] = [];
-  let item: VersionedLease | undefined;
+): ReceivedCall[] {
+  const received: ReceivedCall[] = [];
+  let delayedActions: DelayedAction[] = [];
+  let storedLease: VersionedLease | undefined;
   let revision = 1;
-  let store: Trouble = TROUBLE.StoreWell;
+  let storeState: Trouble = TROUBLE.StoreHealthy;
   let nowMs = 0;
 
-  function createProcess(name: string, process: number): Lease {
+  function createProcess(name: string, generation: number): Lease {
     let writes = 0;
     return parts.createLease({
       holder: name,
       timings: computeLeaseTimings(LENGTH_MS),
       createWriteId() {
         writes += 1;
-        return `${name}-${process}-${writes}`;
+        return `${name}-${generation}-${writes}`;
       },
       computeJitter: () => random.next(),
     });
@@ -123,113 +123,113 @@
     name: `m${index}`,
     queue: [],
     lease: createProcess(`m${index}`, 0),
-    process: 0,
+    generation: 0,
     isFrozen: false,
     isSuspended: false,
-    isDownUntilMs: 0,
+    downUntilMs: 0,
     isLeaving: false,
     isCutFromStore: false,
-    isCutFromCalled: false,
+    isCutFromReceiver: false,
     monotonicMs: 0,
     wallStepMs: 0,
-    excusedUntilMs: 0,
+    graceUntilMs: 0,
     inFlight: 0,
-    unwritten: [],
+    unsentFences: [],
   }));
 
   function addDelayed(ms: number, run: () => void): void {
-    delayed.push({ atMs: nowMs + ms, run });
+    delayedActions.push({ atMs: nowMs + ms, run });
   }
 
-  function getMoment(machine: Machine): ClockReading {
+  function getClockReading(machine: Machine): ClockReading {
     return {
       monotonicMs: machine.monotonicMs,
       wallMs: EPOCH_MS + nowMs + machine.wallStepMs,
     };
   }
 
-  function computeStoreMs(): number {
-    if (store === TROUBLE.StoreSlow) return random.next() * STORE_MAX_MS;
+  function computeStoreLatencyMs(): number {
+    if (storeState === TROUBLE.StoreSlow) return random.next() * STORE_LATENCY_MAX_MS;
     return random.next() * 10;
   }
 
   /** Performs a write; the ending as the store would tell it. */
   function storeDocument(command: Extract<LeaseCommand, { kind: 'write' }>) {
-    const isMet = (item?.version ?? 0) === command.expectedVersion;
-    if (!isMet) return { kind: 'conflict', lease: item } as const;
+    const isVersionMatch = (storedLease?.version ?? 0) === command.expectedVersion;
+    if (!isVersionMatch) return { kind: 'conflict', lease: storedLease } as const;
     revision += 1;
-    item = { version: revision, document: command.document };
+    storedLease = { version: revision, document: command.document };
     return { kind: 'written', version: revision } as const;
   }
 
-  function postAnswer(machine: Machine, process: number, message: LeaseMessage): void {
+  function postResponse(machine: Machine, generation: number, message: LeaseMessage): void {
     addDelayed(random.next() * 5, () => {
-      if (machine.process === process && !machine.isCutFromStore) machine.queue.push(message);
+      if (machine.generation === generation && !machine.isCutFromStore) machine.queue.push(message);
     });
   }
 
   function sendCommand(machine: Machine, command: LeaseCommand): void {
-    const { process } = machine;
-    if (machine.isCutFromStore || store === TROUBLE.StoreGone) return;
-    const isLost = store === TROUBLE.StoreLosing && random.next() < 0.4;
-    addDelayed(computeStoreMs(), () => {
+    const { generation } = machine;
+    if (machine.isCutFromStore || storeState === TROUBLE.StoreUnavailable) return;
+    const isLost = storeState === TROUBLE.StoreLosingResponses && random.next() < 0.4;
+    addDelayed(computeStoreLatencyMs(), () => {
       if (command.kind === 'read') {
-        const message = { kind: 'read', lease: item, newestVersion: revision } as const;
-        if (!isLost) postAnswer(machine, process, message);
+        const message = { kind: 'read', lease: storedLease, newestVersion: revision } as const;
+        if (!isLost) postResponse(machine, generation, message);
         return;
       }
-      const ending = storeDocument(command);
+      const result = storeDocument(command);
       const { writeId } = command.document;
-      if (!isLost) postAnswer(machine, process, { kind: 'written', writeId, result: ending });
+      if (!isLost) postResponse(machine, generation, { kind: 'written', writeId, result });
     });
   }
 
   function handle(machine: Machine, message: LeaseMessage): void {
-    for (const command of machine.lease.handle(message, getMoment(machine))) {
+    for (const command of machine.lease.handle(message, getClockReading(machine))) {
       sendCommand(machine, command);
     }
   }
 
   function recordCall(machine: Machine, fence: number): void {
-    const isExcused = nowMs < machine.excusedUntilMs;
-    arrived.push({ machine: machine.name, fence, atMs: nowMs, isExcused });
+    const isInGracePeriod = nowMs < machine.graceUntilMs;
+    received.push({ machine: machine.name, fence, atMs: nowMs, isInGracePeriod });
   }
 
   /** What is written arrives before the grant it was begun under ends: the caller closes its connection then. */
   function sendCall(machine: Machine): void {
-    const grant = machine.lease.getGrant(getMoment(machine));
-    if (grant === undefined || machine.isCutFromCalled || machine.isLeaving) return;
-    const { process } = machine;
-    const flightMs = random.next() ** FLIGHT_SKEW * grant.remainingMs;
+    const grant = machine.lease.getGrant(getClockReading(machine));
+    if (grant === undefined || machine.isCutFromReceiver || machine.isLeaving) return;
+    const { generation } = machine;
+    const latencyMs = random.next() ** CALL_LATENCY_EXPONENT * grant.remainingMs;
     machine.inFlight += 1;
-    addDelayed(flightMs, () => {
-      if (machine.process !== process) return;
+    addDelayed(latencyMs, () => {
+      if (machine.generation !== generation) return;
       machine.inFlight -= 1;
-      if (machine.isCutFromCalled) return;
+      if (machine.isCutFromReceiver) return;
       recordCall(machine, grant.fence);
     });
-    if (random.next() < 0.1) machine.unwritten = [grant.fence];
+    if (random.next() < 0.1) machine.unsentFences = [grant.fence];
   }
 
   function startProcess(machine: Machine): void {
-    machine.process += 1;
-    machine.lease = createProcess(machine.name, machine.process);
+    machine.generation += 1;
+    machine.lease = createProcess(machine.name, machine.generation);
     machine.queue.length = 0;
     machine.inFlight = 0;
-    machine.unwritten = [];
+    machine.unsentFences = [];
     machine.isLeaving = false;
     machine.isFrozen = false;
     machine.isSuspended = false;
   }
 
   function isRunning(machine: Machine): boolean {
-    return !machine.isFrozen && nowMs >= machine.isDownUntilMs;
+    return !machine.isFrozen && nowMs >= machine.downUntilMs;
   }
 
   function runMachine(machine: Machine, step: number): void {
     if (!isRunning(machine)) return;
     for (const message of machine.queue.splice(0)) handle(machine, message);
-    if ((step + machine.process) % TICK_STEPS === 0) {
+    if ((step + machine.generation) % TICK_STEPS === 0) {
       handle(machine, { kind: 'tick', isWanted: !machine.isLeaving || machine.inFlight > 0 });
     }
     if (random.next() < 0.5) sendCall(machine);
@@ -239,14 +239,14 @@
     if (!machine.isFrozen) return;
     machine.isFrozen = false;
     machine.isSuspended = false;
-    machine.excusedUntilMs = nowMs + THAW_MS;
+    machine.graceUntilMs = nowMs + RESUME_GRACE_MS;
     // Guards of the caller look again after a wake, but not between a look and the write that follows it.
-    for (const fence of machine.unwritten.splice(0)) recordCall(machine, fence);
+    for (const fence of machine.unsentFences.splice(0)) recordCall(machine, fence);
   }
 
   function stopProcess(machine: Machine, downMs: number): void {
     startProcess(machine);
-    machine.isDownUntilMs = nowMs + downMs;
+    machine.downUntilMs = nowMs + downMs;
   }
 
   /** Not while it is suspended: a step back by as much hides the suspension from both clocks. */
@@ -284,12 +284,12 @@
       case TROUBLE.CutFromStore:
         machine.isCutFromStore = true;
         break;
-      case TROUBLE.CutFromCalled:
-        machine.isCutFromCalled = true;
+      case TROUBLE.CutFromReceiver:
+        machine.isCutFromReceiver = true;
         break;
       case TROUBLE.Heal:
         machine.isCutFromStore = false;
-        machine.isCutFromCalled = false;
+        machine.isCutFromReceiver = false;
         break;
       case TROUBLE.StepForward:
         setWallStep(machine, 2400);
@@ -299,19 +299,19 @@
         break;
       case TROUBLE.Erase:
         revision += 1;
-        item = undefined;
+        storedLease = undefined;
         break;
       case TROUBLE.None:
         break;
       default:
-        store = trouble;
+        storeState = trouble;
         break;
     }
   }
 
   function runDelayed(): void {
-    const due = delayed.filter(({ atMs }) => atMs <= nowMs).sort((a, b) => a.atMs - b.atMs);
-    delayed = delayed.filter(({ atMs }) => atMs > nowMs);
+    const due = delayedActions.filter(({ atMs }) => atMs <= nowMs).sort((a, b) => a.atMs - b.atMs);
+    delayedActions = delayedActions.filter(({ atMs }) => atMs > nowMs);
     due.forEach(({ run }) => run());
   }
 
@@ -322,30 +322,33 @@
     runDelayed();
     for (const each of machines) runMachine(each, step);
   });
-  return arrived;
+  return received;
 }
 
 /** What the called side would complain of; undefined where nothing. */
-export function findBreach(calls: readonly ArrivedCall[]): string | undefined {
-  const counted = calls.filter(({ isExcused }) => !isExcused);
-  const machineOf = new Map<number, string>();
+export function findBreach(calls: readonly ReceivedCall[]): string | undefined {
+  const checkedCalls = calls.filter(({ isInGracePeriod: isExcused }) => !isExcused);
+  const machineByFence = new Map<number, string>();
   let highest = 0;
-  for (const { machine, fence } of counted) {
+  for (const { machine, fence } of checkedCalls) {
     if (fence < highest) return `${machine} came with ${fence} after ${highest}`;
     highest = fence;
-    const known = machineOf.get(fence) ?? machine;
+    const known = machineByFence.get(fence) ?? machine;
     if (known !== machine) return `${known} and ${machine} both came with ${fence}`;
-    machineOf.set(fence, machine);
+    machineByFence.set(fence, machine);
   }
   /** When each machine last came, and who came since. */
-  let turns: ArrivedCall[] = [];
-  for (const call of counted) {
-    turns = turns.filter(({ atMs }) => call.atMs - atMs <= LENGTH_MS);
-    const own = turns.findLastIndex(({ machine }) => machine === call.machine);
-    if (own >= 0 && turns.slice(own).some(({ machine }) => machine !== call.machine)) {
+  let recentCalls: ReceivedCall[] = [];
+  for (const call of checkedCalls) {
+    recentCalls = recentCalls.filter(({ atMs }) => call.atMs - atMs <= LENGTH_MS);
+    const lastOwnCall = recentCalls.findLastIndex(({ machine }) => machine === call.machine);
+    if (
+      lastOwnCall >= 0 &&
+      recentCalls.slice(lastOwnCall).some(({ machine }) => machine !== call.machine)
+    ) {
       return `${call.machine} came again within a length of another`;
     }
-    turns.push(call);
+    recentCalls.push(call);
   }
   return undefined;
 }
--- a/src/test/played-network.ts
+++ b/src/test/played-network.ts
@@ -13,7 +13,7 @@
 const DELAY_MIN_MS = 1;
 const DELAY_SPREAD_MS = 3;
 /** Part of the datagrams that is lost. */
-const LOSS = 0.01;
+const LOSS_PROBABILITY = 0.01;
 
 /** The network of a play. */
 export interface PlayedNetwork {
@@ -40,10 +40,10 @@
 
   function sendDatagram(address: string, deliver: (peer: PeerExchange) => void): void {
     sent += 1;
-    if (random.next() >= LOSS) send(address, deliver);
+    if (random.next() >= LOSS_PROBABILITY) send(address, deliver);
   }
 
-  const refuse = (): Promise<never> => Promise.reject(new Error('not played'));
+  const rejectCall = (): Promise<never> => Promise.reject(new Error('not played'));
 
   return {
     add(address, exchange) {
@@ -53,23 +53,24 @@
       send(address, body: PeerMessage['body']) {
         send(address, (peer) => peer.handleMessages(name, [body]));
       },
-      fetchConfiguration: refuse,
-      fetchKnowledge: refuse,
-      queryAttempt: refuse,
+      fetchConfiguration: rejectCall,
+      fetchKnowledge: rejectCall,
+      queryAttempt: rejectCall,
     }),
     createDatagrams: ({ name, dataCentre }) => ({
-      sendLoads(telling, knowledge, sentTime) {
-        for (const load of encodeTelling(telling, dataCentre, knowledge, sentTime)) {
-          const told = decodeTelling(name, load);
-          for (const address of telling.addresses) {
-            if (told !== undefined) sendDatagram(address, (peer) => peer.handlePeerStatus(told));
+      sendLoads(loads, knowledge, sentTime) {
+        for (const datagram of encodeTelling(loads, dataCentre, knowledge, sentTime)) {
+          const status = decodeTelling(name, datagram);
+          for (const address of loads.addresses) {
+            if (status !== undefined)
+              sendDatagram(address, (peer) => peer.handlePeerStatus(status));
           }
         }
       },
       sendCases(addresses, cases) {
-        const told = decodeCases(encodeCases(cases));
+        const decodedCases = decodeCases(encodeCases(cases));
         for (const address of addresses) {
-          sendDatagram(address, (peer) => peer.handleCases(name, told));
+          sendDatagram(address, (peer) => peer.handleCases(name, decodedCases));
         }
       },
       sendUsage: () => undefined,
--- a/src/test/played-routes.ts
+++ b/src/test/played-routes.ts
@@ -23,10 +23,10 @@
 /** The pool that all of them go to. */
 export const POOL = 'engines';
 /** Kinds of calls of each route where none are given. */
-const SHARED_PARTS = 6;
+const DEFAULT_SHARED_PREFIXES = 6;
 /** Answers are this many times their mean at least and at most. */
-const SIZE_MIN = 0.4;
-const SIZE_SPREAD = 1.2;
+const OUTPUT_FACTOR_MIN = 0.4;
+const OUTPUT_FACTOR_SPREAD = 1.2;
 /** Builds a route of model calls. */
 export function buildPlayedRoute(name: string, route: Partial<Route>): Route {
   return {
@@ -47,14 +47,20 @@
 
 /** Builds the next call of a route, of random size and over one of the shared parts. */
 export function buildCall(
-  played: PlayedRoute,
+  simulatedRoute: PlayedRoute,
   callId: string,
   receivedMs: number,
   random: Random,
 ): RoutedCall {
-  const { route, sharedTokens, ownTokens, answerTokens, sharedParts = SHARED_PARTS } = played;
-  const kind = random.nextIndex(sharedParts);
-  const size = SIZE_MIN + random.next() * SIZE_SPREAD;
+  const {
+    route,
+    sharedTokens,
+    ownTokens,
+    answerTokens,
+    sharedParts = DEFAULT_SHARED_PREFIXES,
+  } = simulatedRoute;
+  const prefixIndex = random.nextIndex(sharedParts);
+  const outputFactor = OUTPUT_FACTOR_MIN + random.next() * OUTPUT_FACTOR_SPREAD;
   return {
     callId,
     contentId: callId,
@@ -66,9 +72,9 @@
     prompt: {
       model: 'm',
       inputTokens: sharedTokens + ownTokens,
-      outputTokensMax: Math.max(1, Math.round(answerTokens * size)),
+      outputTokensMax: Math.max(1, Math.round(answerTokens * outputFactor)),
       parts: [
-        { id: `${route.name}-${kind}`, tokens: sharedTokens },
+        { id: `${route.name}-${prefixIndex}`, tokens: sharedTokens },
         { id: callId, tokens: ownTokens },
       ],
     },
@@ -80,7 +86,7 @@
 }
 
 /** A mix of routes before a pool of engines. */
-export interface PlayedMix {
+export interface RouteMix {
   readonly engines: number;
   /** The pause that lookups declare, in milliseconds. */
   readonly lookupGapMs: number;
@@ -93,7 +99,7 @@
   engines,
   lookupGapMs,
   sharedParts,
-}: PlayedMix): readonly PlayedRoute[] {
+}: RouteMix): readonly PlayedRoute[] {
   return [
     {
       route: buildPlayedRoute('lookup', {
--- a/src/test/simulated-engine.ts
+++ b/src/test/simulated-engine.ts
@@ -19,8 +19,8 @@
   readonly call: RoutedCall;
   readonly listener: ExchangeListener;
   readonly arrivedMs: number;
-  unreadTokens: number;
-  tokens: number;
+  prefillTokensLeft: number;
+  outputTokens: number;
 }
 
 /** A running engine. */
@@ -29,17 +29,17 @@
   start(call: RoutedCall, listener: ExchangeListener): () => void;
   /** Calls that run or wait here. */
   count(): number;
-  countTurnedAway(): number;
+  countRejected(): number;
 }
 
 /** A step without calls, what each running call adds, and reading, in milliseconds. */
 const STEP_MS = 3.4;
 const STEP_MS_PER_CALL = 0.2;
-const READ_TOKENS_PER_MS = 112;
+const PREFILL_TOKENS_PER_MS = 112;
 /** Prompt tokens read in one step. */
-const CHUNK_TOKENS = 2048;
+const PREFILL_CHUNK_TOKENS = 2048;
 const OK_STATUS = 200;
-export const FULL_STATUS = 503;
+export const QUEUE_FULL_STATUS = 503;
 /** Tokens in one event of a stream. */
 const EVENT_TOKENS = 5;
 
@@ -54,15 +54,15 @@
 ): SimulatedEngine {
   let queue: Sequence[] = [];
   let running: Sequence[] = [];
-  const kept = new Set<string>();
+  const cachedPartIds = new Set<string>();
   let isStepping = false;
-  let turnedAway = 0;
+  let rejected = 0;
 
-  function countUnread({ prompt }: RoutedCall): number {
+  function countUncachedTokens({ prompt }: RoutedCall): number {
     const parts = prompt?.parts ?? [];
     const shared = parts.slice(0, -1);
-    const missing = shared.filter(({ id }) => !kept.has(id));
-    shared.forEach(({ id }) => kept.add(id));
+    const missing = shared.filter(({ id }) => !cachedPartIds.has(id));
+    shared.forEach(({ id }) => cachedPartIds.add(id));
     return [...missing, ...parts.slice(-1)].reduce((sum, { tokens }) => sum + tokens, 0);
   }
 
@@ -72,19 +72,21 @@
     running.push(...admitted);
   }
 
-  function readChunk(): number {
-    const next = running.filter(({ unreadTokens }) => unreadTokens > 0).sort(compareSequences)[0];
+  function advancePrefill(): number {
+    const next = running
+      .filter(({ prefillTokensLeft: unreadTokens }) => unreadTokens > 0)
+      .sort(compareSequences)[0];
     if (next === undefined) return 0;
-    const tokens = Math.min(CHUNK_TOKENS, next.unreadTokens);
-    next.unreadTokens -= tokens;
+    const tokens = Math.min(PREFILL_CHUNK_TOKENS, next.prefillTokensLeft);
+    next.prefillTokensLeft -= tokens;
     return tokens;
   }
 
   function advanceSequence(sequence: Sequence): void {
-    sequence.tokens += 1;
-    const isLast = sequence.tokens >= (sequence.call.prompt?.outputTokensMax ?? 0);
-    if (sequence.tokens % EVENT_TOKENS === 0 || isLast) {
-      sequence.listener.onData(Buffer.from(`id: ${sequence.tokens}\ndata: x\n\n`));
+    sequence.outputTokens += 1;
+    const isLast = sequence.outputTokens >= (sequence.call.prompt?.outputTokensMax ?? 0);
+    if (sequence.outputTokens % EVENT_TOKENS === 0 || isLast) {
+      sequence.listener.onData(Buffer.from(`id: ${sequence.outputTokens}\ndata: x\n\n`));
     }
     if (!isLast) return;
     running = running.filter((other) => other !== sequence);
@@ -95,9 +97,10 @@
     startQueued();
     isStepping = running.length > 0;
     if (!isStepping) return;
-    const decoding = running.filter(({ unreadTokens }) => unreadTokens === 0);
-    const read = readChunk();
-    const stepMs = STEP_MS + decoding.length * STEP_MS_PER_CALL + read / READ_TOKENS_PER_MS;
+    const decoding = running.filter(({ prefillTokensLeft: unreadTokens }) => unreadTokens === 0);
+    const prefilledTokens = advancePrefill();
+    const stepMs =
+      STEP_MS + decoding.length * STEP_MS_PER_CALL + prefilledTokens / PREFILL_TOKENS_PER_MS;
     time.add(undefined, stepMs, () => {
       decoding.filter((sequence) => running.includes(sequence)).forEach(advanceSequence);
       runStep();
@@ -110,19 +113,21 @@
         call,
         listener,
         arrivedMs: time.getNow(),
-        unreadTokens: 0,
-        tokens: 0,
+        prefillTokensLeft: 0,
+        outputTokens: 0,
       };
       const isFull = running.length + queue.length >= slots + queueMax;
       time.add(undefined, 0, () => {
-        listener.onHead(isFull ? FULL_STATUS : OK_STATUS, [{ name: 'call', value: call.callId }]);
+        listener.onHead(isFull ? QUEUE_FULL_STATUS : OK_STATUS, [
+          { name: 'call', value: call.callId },
+        ]);
         if (isFull) listener.onEnd();
       });
       if (isFull) {
-        turnedAway += 1;
+        rejected += 1;
         return () => undefined;
       }
-      sequence.unreadTokens = countUnread(call);
+      sequence.prefillTokensLeft = countUncachedTokens(call);
       queue.push(sequence);
       if (!isStepping) {
         isStepping = true;
@@ -134,6 +139,6 @@
       };
     },
     count: () => running.length + queue.length,
-    countTurnedAway: () => turnedAway,
+    countRejected: () => rejected,
   };
 }
