--- a/src/test/crash-play.ts
+++ b/src/test/crash-play.ts
@@ -1,4 +1,4 @@
-/** Plays requests that end every engine which runs them, beside ordinary calls, through the instances of a fleet. */
+/** Simulates a fleet that gets requests which crash the engine running them, beside ordinary calls. */
 import type { CallSink, RoutedCall } from '../calls/call-messages.js';
 import type { ContentId } from '../calls/content-id.js';
 import { createRouteRanks } from '../routes/route-rank.js';
@@ -18,17 +18,16 @@
 import { buildCall } from './played-routes.js';
 import type { PlayedRoute } from './played-routes.js';
 
-/** A request that comes again and again, each time under a new id. */
+/** A request that clients send repeatedly, each time with a new call ID. */
 export interface RepeatedRequest {
   readonly content: ContentId;
   readonly played: PlayedRoute;
-  /** Whether engines end under it. */
+  /** Whether it crashes engines. */
   readonly isCulprit: boolean;
-  /** When it comes, in milliseconds from the first arrival; several at one moment come to several instances. */
+  /** Arrival times relative to the start of arrivals. Equal times go to different instances. */
   readonly atMs: readonly number[];
 }
 
-/** What is played. */
 export interface CrashPlayOptions {
   readonly seed: number;
   readonly instances: number;
@@ -37,21 +36,19 @@
   readonly repeats: readonly RepeatedRequest[];
   /** Ordinary calls. */
   readonly routes: readonly PlayedRoute[];
-  /** Engines that end for reasons of their own: when, and which. */
+  /** Crashes that no request causes. */
   readonly crashes?: readonly { readonly atMs: number; readonly engine: number }[];
   readonly lengthMs: number;
 }
 
-/** What the caller of one call saw. */
+/** The result of a call as its caller sees it. */
 export interface ObservedCall {
   readonly content: ContentId;
   readonly receivedMs: number;
   end: 'whole' | 'refused' | 'failed' | 'none';
-  /** When the caller was told to come back, in milliseconds. */
   retryAfterMs: number | undefined;
 }
 
-/** What a play showed. */
 export interface CrashPlayRecord {
   readonly calls: readonly ObservedCall[];
   readonly sends: readonly CulpritSend[];
@@ -60,9 +57,9 @@
 
 const SLOTS = 64;
 const QUEUE_MAX = 64;
-/** Time for the fleet to find itself before calls arrive, in milliseconds. */
+/** Time for the instances to discover each other before calls arrive. */
 const WARM_UP_MS = 4000;
-/** Time after the last arrival in which everything ends, in milliseconds. */
+/** Time after the last arrival for running calls to end. */
 const DRAIN_MS = 10_000;
 
 interface Simulation {
@@ -146,7 +143,6 @@
   };
 }
 
-/** Starts one call at an instance. */
 function startCall(
   simulation: Simulation,
   instance: number,
@@ -168,7 +164,7 @@
   (instances[instance % instances.length] as PlayedInstance).runner.run(call, createSink(result));
 }
 
-/** Lets the calls of a route arrive at random. */
+/** Schedules the calls of a route as a Poisson process. */
 function addArrivals(simulation: Simulation, simulatedRoute: PlayedRoute): void {
   const { options, time, random, instances } = simulation;
   const addNext = (): void => {
@@ -185,7 +181,7 @@
   addNext();
 }
 
-/** Copies of one moment come to instances beside each other. */
+/** Copies with the same arrival time go to consecutive instances. */
 function addRepeats(simulation: Simulation, { atMs, played, content }: RepeatedRequest): void {
   const { time, random, instances } = simulation;
   let instance = 0;
@@ -197,7 +193,6 @@
   });
 }
 
-/** Plays it and returns what callers and engines saw. */
 export async function runCrashPlay(options: CrashPlayOptions): Promise<CrashPlayRecord> {
   const simulation = createSimulation(options);
   const { time, pool, timers, observedCalls } = simulation;
--- a/src/test/crashing-engines.ts
+++ b/src/test/crashing-engines.ts
@@ -1,6 +1,6 @@
 /**
- * Engines of a play that end under some contents: all that runs there breaks off, connections are refused,
- * and after some seconds another start is at the address.
+ * Simulated engines that crash on some requests. A crash breaks running responses, and connections to the
+ * address are refused until a new process starts there.
  */
 import type { RoutedCall } from '../calls/call-messages.js';
 import type { ContentId } from '../calls/content-id.js';
@@ -14,55 +14,51 @@
 import { createSimulatedEngine } from './simulated-engine.js';
 import type { SimulatedEngine } from './simulated-engine.js';
 
-/** The registry misses an engine this long after its end, in milliseconds. */
+/** Time from a crash to the removal from the registry. */
 const DEREGISTRATION_MS = 2700;
-/** Another start is there this long after an end, in milliseconds. */
+/** Time from a crash to the start of a new process. */
 const RESTART_MS = 3300;
-/** A connection to a dead engine is refused, and a broken one seen, after this long, in milliseconds. */
+/** Time until a refused or broken connection is reported. */
 const CONNECTION_ERROR_MS = 1;
 
-/** What the pool is made of. */
 export interface CrashingEnginesOptions {
   readonly time: VirtualTime;
   readonly engines: number;
   readonly slots: number;
   readonly queueMax: number;
   readonly dataCentres: number;
-  /** Contents under which an engine ends at their first token. */
+  /** Requests that crash an engine at their first token. */
   readonly culprits: ReadonlySet<ContentId>;
-  /** Calls by id: an exchange with an engine names its call only. */
+  /** Calls by ID, since a request to an engine carries only the ID. */
   readonly calls: ReadonlyMap<string, RoutedCall>;
   readonly onRegistered: (endpoint: RegisteredEndpoint) => void;
   readonly onRemoved: (endpoint: RegisteredEndpoint) => void;
 }
 
-/** A culprit that was sent to an engine. */
 export interface CulpritSend {
   readonly content: ContentId;
   readonly atMs: number;
 }
 
-/** The pool. */
 export interface CrashingEngines {
   readonly connections: EndpointConnections;
   checkConnection(address: string): Promise<ConnectionResult>;
-  /** Every time that a culprit reached an engine. */
+  /** Culprits that reached an engine. */
   readonly sends: readonly CulpritSend[];
-  /** Every end of an engine, with the content under which it ended; an end that the play asks for has none. */
+  /** Crashes, with the request that caused them; undefined for those started by `crash`. */
   readonly ends: readonly { readonly content: ContentId | undefined; readonly atMs: number }[];
-  /** Ends an engine for reasons of its own. */
+  /** Crashes an engine without a request as the cause. */
   crash(index: number): void;
 }
 
-/** One start of an engine. */
 interface EngineProcess {
   readonly endpoint: RegisteredEndpoint;
   readonly engine: SimulatedEngine;
-  /** Answers under way. */
+  /** Listeners of running responses. */
   readonly listeners: Set<ExchangeListener>;
 }
 
-/** Builds the pool and registers its first starts. */
+/** Creates the engines and registers their first processes. */
 export function createCrashingEngines(options: CrashingEnginesOptions): CrashingEngines {
   const { time } = options;
   const processes = new Map<string, EngineProcess>();
--- a/src/test/fleet-play.ts
+++ b/src/test/fleet-play.ts
@@ -1,4 +1,4 @@
-/** Plays calls of several routes against simulated engines, in virtual time, through the call runners of a fleet. */
+/** Simulates, in virtual time, calls of several routes through the call runners of a fleet to simulated engines. */
 import type { CallSink, RoutedCall } from '../calls/call-messages.js';
 import type { CallRunner } from '../calls/call-runner.js';
 import type { AttemptRecord } from '../calls/call-records.js';
@@ -22,23 +22,22 @@
 import { createSimulatedEngine } from './simulated-engine.js';
 import type { SimulatedEngine } from './simulated-engine.js';
 
-/** A time in which more calls come. */
+/** An interval in which the arrival rate is multiplied. */
 export interface Burst {
   readonly fromMs: number;
   readonly toMs: number;
   readonly factor: number;
 }
 
-/** What is played. */
 export interface PlayOptions {
   readonly seed: number;
   readonly engines: number;
   readonly slots: number;
   readonly queueMax: number;
   readonly routes: readonly PlayedRoute[];
-  /** Counted from the first arrival. */
+  /** Relative to the start of arrivals. */
   readonly burst: Burst;
-  /** How long calls arrive. */
+  /** Duration of arrivals. */
   readonly lengthMs: number;
   /**
    * Instances of the fleet.
@@ -51,46 +50,44 @@
    */
   readonly dataCentres?: number;
   /**
-   * Time for the fleet to find itself before calls arrive.
+   * Time for the instances to discover each other before calls arrive.
    * @default 0
    */
   readonly settlingMs?: number;
 }
 
-/** What one caller saw. */
+/** The result of a call as its caller sees it. */
 export interface PlayedCall {
   readonly route: string;
-  /** Counted from the first arrival. */
+  /** Relative to the start of arrivals. */
   readonly receivedMs: number;
   firstEventMs: number | undefined;
-  /** The longest pause between two events, in milliseconds. */
+  /** The longest gap between two events. */
   maxGapMs: number;
   end: 'whole' | 'refused' | 'left' | 'failed' | 'none';
-  /** Whole, begun within the target and without a pause over what the route declares. */
+  /** Whether the call completed within both the first-event target and the gap target of its route. */
   isInTime: boolean;
 }
 
-/** What a play showed. */
 export interface FleetSimulationResult {
   readonly calls: readonly PlayedCall[];
-  /** Mean difference between the calls that a chooser held for under way at an engine and those that were. */
+  /** Mean absolute error of the running calls that an instance assumes for an engine. */
   readonly meanBeliefError: number;
-  /** Attempts that a full engine turned away. */
+  /** Attempts that an engine rejected because its queue was full. */
   readonly rejectedAttempts: number;
-  /** Datagrams that an instance sent in a second, in the mean. */
+  /** Mean datagrams sent per instance and second. */
   readonly datagramsPerSecond: number;
 }
 
-/** A caller leaves an answer that does not begin within the longest of this, in milliseconds, and these multiples of what the route declares. */
+/** A caller cancels without a first event after the longest of this and multiples of the targets. */
 const FIRST_EVENT_TIMEOUT_MIN_MS = 2000;
 const FIRST_EVENT_TIMEOUT_TARGETS = 4;
 const FIRST_EVENT_TIMEOUT_GAPS = 8;
-/** Time after the last arrival in which everything ends, in milliseconds. */
+/** Time after the last arrival for running calls to end. */
 const DRAIN_MS = 12_000;
-/** Instances start within this time, in milliseconds. */
+/** Instances start evenly spread over this time. */
 const START_SPREAD_MS = 300;
 
-/** What the parts of a play share. */
 interface Simulation {
   readonly options: PlayOptions;
   readonly time: VirtualTime;
@@ -98,9 +95,8 @@
   readonly network: PlayedNetwork;
   readonly engines: ReadonlyMap<string, SimulatedEngine>;
   readonly endpoints: readonly RegisteredEndpoint[];
-  /** Calls by id: an exchange with an engine names its call only. */
+  /** Calls by ID, since a request to an engine carries only the ID. */
   readonly calls: Map<string, RoutedCall>;
-  /** When the first calls arrive. */
   readonly arrivalsStartMs: number;
 }
 
@@ -142,7 +138,6 @@
   };
 }
 
-/** Starts the instances of a fleet, one after the other within a moment. */
 function startFleet(
   simulation: Simulation,
   onAttempt: (record: AttemptRecord) => void,
@@ -180,7 +175,6 @@
   return { instances, timers };
 }
 
-/** Records what the caller of one call sees. */
 function createCallObserver(
   { time, arrivalsStartMs }: Simulation,
   { name, targetMs, gapTargetMs = Infinity }: Route,
@@ -220,7 +214,7 @@
   };
 }
 
-/** Starts one call and its caller, who leaves an answer that is too late. */
+/** Starts a call that its caller cancels when the first event or the end is late. */
 function startCall(
   simulation: Simulation,
   runner: CallRunner,
@@ -244,7 +238,7 @@
   return result;
 }
 
-/** Lets the calls of a route arrive at random. */
+/** Schedules the calls of a route as a Poisson process. */
 function addArrivals(
   { options, time, random, arrivalsStartMs }: Simulation,
   simulatedRoute: PlayedRoute,
@@ -281,7 +275,6 @@
   };
 }
 
-/** Plays it and returns what callers and choosers saw. */
 export async function runFleetPlay(options: PlayOptions): Promise<FleetSimulationResult> {
   const simulation = createSimulation(options);
   const { time, network, engines, random, arrivalsStartMs } = simulation;
@@ -314,7 +307,7 @@
   };
 }
 
-/** Plays it and returns what every caller saw. */
+/** Runs the simulation and returns only the results of the calls. */
 export async function runPlay(options: PlayOptions): Promise<readonly PlayedCall[]> {
   const { calls } = await runFleetPlay(options);
   return calls;
--- a/src/test/played-instance.ts
+++ b/src/test/played-instance.ts
@@ -1,4 +1,4 @@
-/** One instance of a play: the decisions and the exchange with peers that ship, on played engines and links. */
+/** An instance with the production call runner, placer, quarantine and peer exchange, on simulated engines and links. */
 import { createCallRunner } from '../calls/call-runner.js';
 import type { CallRunner } from '../calls/call-runner.js';
 import type { AttemptRecord } from '../calls/call-records.js';
@@ -23,15 +23,14 @@
 import type { PlayedNetwork } from './played-network.js';
 import { QUEUE_FULL_STATUS } from './simulated-engine.js';
 
-/** What an instance is played with. */
 export interface SimulatedInstanceOptions {
   readonly self: Contact;
-  /** The whole fleet, as the platform lists it. */
+  /** All instances of the fleet. */
   readonly contacts: readonly Contact[];
   readonly timers: TimerService;
   readonly random: Random;
   readonly network: PlayedNetwork;
-  /** What the registry lists. */
+  /** Lists the endpoints in the registry. */
   readonly listOpen: () => readonly RegisteredEndpoint[];
   readonly standings: RouteRanks;
   readonly connections: EndpointConnections;
@@ -40,19 +39,18 @@
   readonly onAttempt: (record: AttemptRecord) => void;
 }
 
-/** An instance that runs calls. */
 export interface PlayedInstance {
   readonly runner: CallRunner;
   readonly exchange: PeerExchange;
   readonly quarantine: Quarantine;
 }
 
-/** Instances whose addresses all know when they start. */
+/** Instances whose addresses every instance is configured with. */
 const SEED_COUNT = 3;
-/** As often as a gateway does, in milliseconds. */
+/** The interval of the gateway. */
 const QUARANTINE_TICK_MS = 100;
 
-/** Engines of a play name the call in the one header of their answer. */
+/** Simulated engines return the call ID in the only response header. */
 const PROTOCOL: EndpointProtocol = {
   encode: ({ callId }) => ({ method: 'POST', target: callId, headers: [], body: Buffer.alloc(0) }),
   decode: (status, [callId]) => ({
@@ -65,7 +63,6 @@
   }),
 };
 
-/** Starts an instance. */
 export function createPlayedInstance(options: SimulatedInstanceOptions): PlayedInstance {
   const { self, timers, random, network, listOpen, standings } = options;
   const loads = createEndpointLoads();
--- a/src/test/played-lease.ts
+++ b/src/test/played-lease.ts
@@ -1,68 +1,64 @@
-/** Machines with a part in one lease, played step by step, and what the called side sees of its holders. */
+/** Simulates machines that compete for one lease, and checks the fencing tokens that the receiver of their calls gets. */
 import { computeLeaseTimings } from '../leases/lease-bounds.js';
 import { createLease } from '../leases/lease.js';
 import type { Lease, LeaseCommand, LeaseMessage, ClockReading } from '../leases/lease.js';
 import type { VersionedLease } from '../leases/lease-document.js';
 import type { Random } from '../utils/random.js';
 
-/** The length of the lease, in milliseconds. */
 export const LENGTH_MS = 3000;
-/** The called side passes over what comes this soon after its sender woke or was reached again, in milliseconds. */
+/** Calls that arrive within this time after their sender resumed are not checked. */
 const RESUME_GRACE_MS = 300;
 const STEP_MS = 50;
 const TICK_STEPS = 2;
-/** A process that is told to leave goes on for at least this long, in milliseconds. */
+/** The shortest time between the start of a drain and the end of the process. */
 const DRAIN_MIN_MS = 2800;
-/** The longest that the store takes with a call, in milliseconds. */
 const STORE_LATENCY_MAX_MS = 6000;
-/** Most calls arrive at once, and some as late as they may. */
+/** Skews call latency towards zero, with a tail up to the end of the grant. */
 const CALL_LATENCY_EXPONENT = 6;
 const EPOCH_MS = 1_700_000_000_000;
 
-/** What happens to a machine, or to the store. */
+/** Faults of a machine or of the store. */
 export const TROUBLE = {
   None: 'none',
-  /** The process does not run; both clocks go on. */
+  /** The process stops; both clocks advance. */
   Freeze: 'freeze',
-  /** The same, and the monotonic clock stands still. */
+  /** The process and the monotonic clock stop. */
   Suspend: 'suspend',
   Wake: 'wake',
-  /** The process ends; another one starts on the machine a moment later. */
+  /** The process ends, and a new one starts on the machine. */
   Kill: 'kill',
-  /** It gives the lease up and ends, and starts again. */
+  /** The process releases the lease and ends, and a new one starts. */
   Drain: 'drain',
-  /** It gives the lease up and wants it again a moment later. */
+  /** The process releases the lease and competes for it again. */
   Yield: 'yield',
   CutFromStore: 'cut_from_store',
-  CutFromReceiver: 'cut_from_called',
+  CutFromReceiver: 'cut_from_receiver',
   Heal: 'heal',
   StepForward: 'step_forward',
   StepBack: 'step_back',
   StoreSlow: 'store_slow',
-  StoreLosingResponses: 'store_losing',
-  StoreUnavailable: 'store_gone',
-  StoreHealthy: 'store_well',
-  /** The document vanishes. */
+  StoreLosingResponses: 'store_losing_responses',
+  StoreUnavailable: 'store_unavailable',
+  StoreHealthy: 'store_healthy',
+  /** The lease document is deleted. */
   Erase: 'erase',
 } as const;
 export type Trouble = (typeof TROUBLE)[keyof typeof TROUBLE];
 
-/** One step of a schedule. */
 export interface PlayedStep {
   readonly machine: number;
   readonly trouble: Trouble;
 }
 
-/** A call as the called side got it. */
 export interface ReceivedCall {
   readonly machine: string;
   readonly fence: number;
   readonly atMs: number;
-  /** It came right after its sender woke or was reached again. */
+  /** It arrived shortly after its sender resumed, and is not checked. */
   readonly isInGracePeriod: boolean;
 }
 
-/** What the parts of the play are; a mutant replaces one. */
+/** Replaced by tests that check that a faulty lease is detected. */
 export interface LeaseParts {
   readonly createLease: typeof createLease;
 }
@@ -81,9 +77,9 @@
   monotonicMs: number;
   wallStepMs: number;
   graceUntilMs: number;
-  /** Calls on their way: while there is one the lease is not given up. */
+  /** Calls in flight. The lease is not released while there are any. */
   inFlight: number;
-  /** Calls that were checked and not yet written when the machine stopped. */
+  /** Fences of calls that had passed the grant check but were not yet sent when the machine stopped. */
   unsentFences: number[];
 }
 
@@ -92,7 +88,7 @@
   readonly run: () => void;
 }
 
-/** Plays a schedule; the calls in the order in which they came. */
+/** Runs a schedule and returns the received calls in order of arrival. */
 export function runLeasePlay(
   machineCount: number,
   steps: readonly PlayedStep[],
@@ -153,7 +149,7 @@
     return random.next() * 10;
   }
 
-  /** Performs a write; the ending as the store would tell it. */
+  /** Performs a conditional write and returns the response of the store. */
   function storeDocument(command: Extract<LeaseCommand, { kind: 'write' }>) {
     const isVersionMatch = (storedLease?.version ?? 0) === command.expectedVersion;
     if (!isVersionMatch) return { kind: 'conflict', lease: storedLease } as const;
@@ -195,7 +191,7 @@
     received.push({ machine: machine.name, fence, atMs: nowMs, isInGracePeriod });
   }
 
-  /** What is written arrives before the grant it was begun under ends: the caller closes its connection then. */
+  /** A call arrives before its grant expires, because the caller closes the connection at that time. */
   function sendCall(machine: Machine): void {
     const grant = machine.lease.getGrant(getClockReading(machine));
     if (grant === undefined || machine.isCutFromReceiver || machine.isLeaving) return;
@@ -240,7 +236,7 @@
     machine.isFrozen = false;
     machine.isSuspended = false;
     machine.graceUntilMs = nowMs + RESUME_GRACE_MS;
-    // Guards of the caller look again after a wake, but not between a look and the write that follows it.
+    // The caller checks its grant again after resuming, but not between a check and the send that follows.
     for (const fence of machine.unsentFences.splice(0)) recordCall(machine, fence);
   }
 
@@ -249,7 +245,7 @@
     machine.downUntilMs = nowMs + downMs;
   }
 
-  /** Not while it is suspended: a step back by as much hides the suspension from both clocks. */
+  /** Ignored during a suspension: an equal step back would hide the suspension from both clocks. */
   function setWallStep(machine: Machine, ms: number): void {
     if (!machine.isSuspended) machine.wallStepMs = ms;
   }
@@ -325,19 +321,19 @@
   return received;
 }
 
-/** What the called side would complain of; undefined where nothing. */
+/** Finds a fence that decreased or was shared, or a holder that returned within one lease duration of another. */
 export function findBreach(calls: readonly ReceivedCall[]): string | undefined {
   const checkedCalls = calls.filter(({ isInGracePeriod: isExcused }) => !isExcused);
   const machineByFence = new Map<number, string>();
   let highest = 0;
   for (const { machine, fence } of checkedCalls) {
-    if (fence < highest) return `${machine} came with ${fence} after ${highest}`;
+    if (fence < highest) return `${machine} sent fence ${fence} after fence ${highest}`;
     highest = fence;
     const known = machineByFence.get(fence) ?? machine;
-    if (known !== machine) return `${known} and ${machine} both came with ${fence}`;
+    if (known !== machine) return `${known} and ${machine} both sent fence ${fence}`;
     machineByFence.set(fence, machine);
   }
-  /** When each machine last came, and who came since. */
+  /** Calls of the last lease duration. */
   let recentCalls: ReceivedCall[] = [];
   for (const call of checkedCalls) {
     recentCalls = recentCalls.filter(({ atMs }) => call.atMs - atMs <= LENGTH_MS);
@@ -346,7 +342,7 @@
       lastOwnCall >= 0 &&
       recentCalls.slice(lastOwnCall).some(({ machine }) => machine !== call.machine)
     ) {
-      return `${call.machine} came again within a length of another`;
+      return `${call.machine} sent again within one lease duration of another holder`;
     }
     recentCalls.push(call);
   }
--- a/src/test/played-network.ts
+++ b/src/test/played-network.ts
@@ -1,4 +1,4 @@
-/** Links between the instances of a play: late, and datagrams now and then lost. */
+/** Links between simulated instances, with latency and datagram loss. */
 import type { PeerMessage } from '../gen/peer_pb.js';
 import type { Contact } from '../membership/membership-messages.js';
 import type { Datagrams } from '../peers/datagrams.js';
@@ -9,24 +9,21 @@
 import type { Random } from '../utils/random.js';
 import type { PeerExchange } from '../gateway/peer-exchange.js';
 
-/** The way between two instances, in milliseconds: between data centres of one region, and an event loop that has other work. */
+/** One-way latency between data centres of a region, with event loop delay. */
 const DELAY_MIN_MS = 1;
 const DELAY_SPREAD_MS = 3;
-/** Part of the datagrams that is lost. */
 const LOSS_PROBABILITY = 0.01;
 
-/** The network of a play. */
 export interface PlayedNetwork {
   add(address: string, exchange: PeerExchange): void;
   createLinks(self: Contact): PeerLinks;
   createDatagrams(
     self: Contact,
   ): Pick<Datagrams, 'sendLoads' | 'sendGossip' | 'sendCases' | 'sendUsage'>;
-  /** Datagrams that were sent so far. */
+  /** Counts the datagrams sent so far, including lost ones. */
   countSent(): number;
 }
 
-/** Builds a network without anybody on it. */
 export function createPlayedNetwork(time: VirtualTime, random: Random): PlayedNetwork {
   const peers = new Map<string, PeerExchange>();
   let sent = 0;
@@ -43,7 +40,8 @@
     if (random.next() >= LOSS_PROBABILITY) send(address, deliver);
   }
 
-  const rejectCall = (): Promise<never> => Promise.reject(new Error('not played'));
+  const rejectCall = (): Promise<never> =>
+    Promise.reject(new Error('not supported by the simulated network'));
 
   return {
     add(address, exchange) {
--- a/src/test/played-routes.ts
+++ b/src/test/played-routes.ts
@@ -1,33 +1,32 @@
-/** Routes of model calls and the calls that are played of them. */
+/** Routes of model calls, and calls with random sizes for them. */
 import type { RoutedCall } from '../calls/call-messages.js';
 import { CALL_KIND } from '../types/traffic.js';
 import type { Route } from '../types/traffic.js';
 import type { Random } from '../utils/random.js';
 
-/** Calls of one route. */
+/** A route and the distribution of its calls. */
 export interface PlayedRoute {
   readonly route: Route;
-  /** Prompt tokens that the calls of one of several kinds share, and each call's own. */
+  /** Prompt tokens of the prefix that a call shares with others. */
   readonly sharedTokens: number;
+  /** Prompt tokens that only this call has. */
   readonly ownTokens: number;
-  /** Mean tokens of an answer. */
+  /** Mean output tokens of a call. */
   readonly answerTokens: number;
   readonly callsPerSecond: number;
   /**
-   * Kinds of calls, each with a shared part of its own.
+   * Distinct shared prefixes among the calls.
    * @default 6
    */
   readonly sharedParts?: number;
 }
 
-/** The pool that all of them go to. */
 export const POOL = 'engines';
-/** Kinds of calls of each route where none are given. */
 const DEFAULT_SHARED_PREFIXES = 6;
-/** Answers are this many times their mean at least and at most. */
+/** Output length relative to the mean, uniform between the minimum and the minimum plus the spread. */
 const OUTPUT_FACTOR_MIN = 0.4;
 const OUTPUT_FACTOR_SPREAD = 1.2;
-/** Builds a route of model calls. */
+
 export function buildPlayedRoute(name: string, route: Partial<Route>): Route {
   return {
     name,
@@ -45,7 +44,7 @@
   };
 }
 
-/** Builds the next call of a route, of random size and over one of the shared parts. */
+/** Builds a call of a route with a random output length and shared prefix. */
 export function buildCall(
   simulatedRoute: PlayedRoute,
   callId: string,
@@ -85,16 +84,15 @@
   };
 }
 
-/** A mix of routes before a pool of engines. */
 export interface RouteMix {
   readonly engines: number;
-  /** The pause that lookups declare, in milliseconds. */
+  /** The gap target of the lookup route. */
   readonly lookupGapMs: number;
-  /** Kinds of calls of each route: far more than engines, as histories are. */
+  /** Distinct shared prefixes of each route. */
   readonly sharedParts: number;
 }
 
-/** Lookups, drafts and long histories, as many as keep the engines a third full. */
+/** Builds a mix of lookups, drafts and long histories that loads the engines to about a third. */
 export function buildMixedRoutes({
   engines,
   lookupGapMs,
--- a/src/test/simulated-engine.ts
+++ b/src/test/simulated-engine.ts
@@ -1,20 +1,17 @@
 /**
- * A model engine in virtual time: a batch that reads one piece of a prompt in each step beside the
- * tokens of all running calls. The more run, the longer a step takes. More urgent calls are admitted
- * and read first; what comes beyond the queue is turned away unrun.
+ * A model engine in virtual time, with continuous batching and chunked prefill. Step time grows with
+ * the batch. More urgent calls are admitted and prefilled first. Calls beyond the queue are rejected.
  */
 import type { RoutedCall } from '../calls/call-messages.js';
 import type { ExchangeListener } from '../calls/endpoint-connections.js';
 import type { VirtualTime } from '../soak/virtual-time.js';
 
-/** What the engine is made of. */
 export interface SimulatedEngineOptions {
   readonly slots: number;
-  /** Calls that may wait beyond the slots. */
+  /** Calls that may wait when all slots are in use. */
   readonly queueMax: number;
 }
 
-/** A call at the engine. */
 interface Sequence {
   readonly call: RoutedCall;
   readonly listener: ExchangeListener;
@@ -23,20 +20,19 @@
   outputTokens: number;
 }
 
-/** A running engine. */
 export interface SimulatedEngine {
-  /** Starts a call; the returned function takes it back. */
+  /** Starts a call and returns a function that cancels it. */
   start(call: RoutedCall, listener: ExchangeListener): () => void;
-  /** Calls that run or wait here. */
+  /** Counts running and queued calls. */
   count(): number;
   countRejected(): number;
 }
 
-/** A step without calls, what each running call adds, and reading, in milliseconds. */
+/** The duration of a step: a fixed part, a part for each decoding call, and prefill. */
 const STEP_MS = 3.4;
 const STEP_MS_PER_CALL = 0.2;
 const PREFILL_TOKENS_PER_MS = 112;
-/** Prompt tokens read in one step. */
+/** Prompt tokens prefilled in one step. */
 const PREFILL_CHUNK_TOKENS = 2048;
 const OK_STATUS = 200;
 export const QUEUE_FULL_STATUS = 503;
@@ -47,7 +43,6 @@
   return a.call.urgency - b.call.urgency || a.arrivedMs - b.arrivedMs;
 }
 
-/** Builds an idle engine. */
 export function createSimulatedEngine(
   time: VirtualTime,
   { slots, queueMax }: SimulatedEngineOptions,
--- a/src/test/simulated-trial-leases.ts
+++ b/src/test/simulated-trial-leases.ts
@@ -1,18 +1,15 @@
-/** Leases of trials at a source that answers late and gives each once. */
+/** A source of trial leases that responds with a delay and grants each lease to one holder at a time. */
 import type { VirtualTime } from '../soak/virtual-time.js';
 import type { TakeTrialLease } from '../quarantine/trials.js';
 
-/** Time to the source and back, in milliseconds. */
+/** The round trip to the source. */
 const RESPONSE_MS = 6;
-/** How long a lease is held, in milliseconds. */
 const LEASE_MS = 15_000;
 
-/** The leases of a play. */
 export interface SimulatedTrialLeases {
   readonly take: TakeTrialLease;
 }
 
-/** Builds leases that nobody has. */
 export function createSimulatedTrialLeases(time: VirtualTime): SimulatedTrialLeases {
   const takenAtMs = new Map<string, number>();
   return {
