--- a/src/test/crashing-engines.ts
+++ b/src/test/crashing-engines.ts
@@ -1,6 +1,6 @@
 /**
- * Engines of a play that end under some contents: all that runs there breaks off, connections are refused,
- * and after some seconds another start is at the address.
+ * Simulated engines that crash on some requests. A crash breaks running responses, and connections to the
+ * address are refused until a new process starts there.
  */
 import type { RoutedCall } from '../calls/call-messages.js';
 import type { ContentId } from '../calls/content-id.js';
@@ -14,58 +14,54 @@
 import { createSimulatedEngine } from './simulated-engine.js';
 import type { SimulatedEngine } from './simulated-engine.js';
 
-/** The registry misses an engine this long after its end, in milliseconds. */
-const LAPSE_MS = 2700;
-/** Another start is there this long after an end, in milliseconds. */
-const RETURN_MS = 3300;
-/** A connection to a dead engine is refused, and a broken one seen, after this long, in milliseconds. */
-const NETWORK_MS = 1;
+/** Time from a crash to the removal from the registry. */
+const DEREGISTRATION_MS = 2700;
+/** Time from a crash to the start of a new process. */
+const RESTART_MS = 3300;
+/** Time until a refused or broken connection is reported. */
+const CONNECTION_ERROR_MS = 1;
 
-/** What the pool is made of. */
 export interface CrashingEnginesOptions {
   readonly time: VirtualTime;
   readonly engines: number;
   readonly slots: number;
   readonly queueMax: number;
   readonly dataCentres: number;
-  /** Contents under which an engine ends at their first token. */
+  /** Requests that crash an engine at their first token. */
   readonly culprits: ReadonlySet<ContentId>;
-  /** Calls by id: an exchange with an engine names its call only. */
+  /** Calls by ID, since a request to an engine carries only the ID. */
   readonly calls: ReadonlyMap<string, RoutedCall>;
   readonly onRegistered: (endpoint: RegisteredEndpoint) => void;
   readonly onRemoved: (endpoint: RegisteredEndpoint) => void;
 }
 
-/** A culprit that was sent to an engine. */
 export interface CulpritSend {
   readonly content: ContentId;
   readonly atMs: number;
 }
 
-/** The pool. */
 export interface CrashingEngines {
   readonly connections: EndpointConnections;
   checkConnection(address: string): Promise<ConnectionResult>;
-  /** Every time that a culprit reached an engine. */
+  /** Culprits that reached an engine. */
   readonly sends: readonly CulpritSend[];
-  /** Every end of an engine, with the content under which it ended; an end that the play asks for has none. */
+  /** Crashes, with the request that caused them; undefined for those started by `crash`. */
   readonly ends: readonly { readonly content: ContentId | undefined; readonly atMs: number }[];
-  /** Ends an engine for reasons of its own. */
+  /** Crashes an engine without a request as the cause. */
   crash(index: number): void;
 }
 
-/** One start of an engine. */
-interface EngineStart {
+interface EngineProcess {
   readonly endpoint: RegisteredEndpoint;
   readonly engine: SimulatedEngine;
-  /** Answers under way. */
+  /** Listeners of running responses. */
   readonly listeners: Set<ExchangeListener>;
 }
 
-/** Builds the pool and registers its first starts. */
+/** Creates the engines and registers their first processes. */
 export function createCrashingEngines(options: CrashingEnginesOptions): CrashingEngines {
   const { time } = options;
-  const starts = new Map<string, EngineStart>();
+  const processes = new Map<string, EngineProcess>();
   const sends: CulpritSend[] = [];
   const ends: { content: ContentId | undefined; atMs: number }[] = [];
   let started = 0;
@@ -84,36 +80,36 @@
       isSpot: false,
     };
     const engine = createSimulatedEngine(time, options);
-    starts.set(endpoint.address, { endpoint, engine, listeners: new Set() });
+    processes.set(endpoint.address, { endpoint, engine, listeners: new Set() });
     options.onRegistered(endpoint);
   }
 
   function stopEngine(index: number, content: ContentId | undefined): void {
     const address = `address-${index}`;
-    const start = starts.get(address);
-    if (start === undefined) return;
-    starts.delete(address);
+    const engineProcess = processes.get(address);
+    if (engineProcess === undefined) return;
+    processes.delete(address);
     ends.push({ content, atMs: time.getNow() });
-    for (const listener of start.listeners) {
-      time.add(undefined, NETWORK_MS, () => listener.onError(true, 'other side closed'));
+    for (const listener of engineProcess.listeners) {
+      time.add(undefined, CONNECTION_ERROR_MS, () => listener.onError(true, 'other side closed'));
     }
-    start.listeners.clear();
-    time.add(undefined, LAPSE_MS, () => options.onRemoved(start.endpoint));
-    time.add(undefined, RETURN_MS, () => startEngine(index));
+    engineProcess.listeners.clear();
+    time.add(undefined, DEREGISTRATION_MS, () => options.onRemoved(engineProcess.endpoint));
+    time.add(undefined, RESTART_MS, () => startEngine(index));
   }
 
   function open(address: string, callId: string, listener: ExchangeListener): () => void {
     const call = options.calls.get(callId) as RoutedCall;
-    const start = starts.get(address);
-    if (start === undefined) {
-      time.add(undefined, NETWORK_MS, () => listener.onError(false, 'refused'));
+    const engineProcess = processes.get(address);
+    if (engineProcess === undefined) {
+      time.add(undefined, CONNECTION_ERROR_MS, () => listener.onError(false, 'refused'));
       return () => undefined;
     }
     const isCulprit = options.culprits.has(call.contentId);
     if (isCulprit) sends.push({ content: call.contentId, atMs: time.getNow() });
-    start.listeners.add(listener);
-    const isOpen = (): boolean => start.listeners.has(listener);
-    const cancel = start.engine.start(call, {
+    engineProcess.listeners.add(listener);
+    const isOpen = (): boolean => engineProcess.listeners.has(listener);
+    const cancel = engineProcess.engine.start(call, {
       onHead: (status, headers) => isOpen() && listener.onHead(status, headers),
       onData(bytes) {
         if (!isOpen()) return false;
@@ -122,12 +118,12 @@
         return false;
       },
       onEnd() {
-        if (start.listeners.delete(listener)) listener.onEnd();
+        if (engineProcess.listeners.delete(listener)) listener.onEnd();
       },
       onError: (isSent, reason) => listener.onError(isSent, reason),
     });
     return () => {
-      start.listeners.delete(listener);
+      engineProcess.listeners.delete(listener);
       cancel();
     };
   }
@@ -143,8 +139,8 @@
     },
     checkConnection: (address) =>
       new Promise((resolve) => {
-        time.add(undefined, NETWORK_MS, () =>
-          resolve(starts.has(address) ? CONNECTION_RESULT.Accepted : CONNECTION_RESULT.Refused),
+        time.add(undefined, CONNECTION_ERROR_MS, () =>
+          resolve(processes.has(address) ? CONNECTION_RESULT.Accepted : CONNECTION_RESULT.Refused),
         );
       }),
     sends,
--- a/src/test/played-routes.ts
+++ b/src/test/played-routes.ts
@@ -1,33 +1,32 @@
-/** Routes of model calls and the calls that are played of them. */
+/** Routes of model calls, and calls with random sizes for them. */
 import type { RoutedCall } from '../calls/call-messages.js';
 import { CALL_KIND } from '../types/traffic.js';
 import type { Route } from '../types/traffic.js';
 import type { Random } from '../utils/random.js';
 
-/** Calls of one route. */
+/** A route and the distribution of its calls. */
 export interface PlayedRoute {
   readonly route: Route;
-  /** Prompt tokens that the calls of one of several kinds share, and each call's own. */
+  /** Prompt tokens of the prefix that a call shares with others. */
   readonly sharedTokens: number;
+  /** Prompt tokens that only this call has. */
   readonly ownTokens: number;
-  /** Mean tokens of an answer. */
+  /** Mean output tokens of a call. */
   readonly answerTokens: number;
   readonly callsPerSecond: number;
   /**
-   * Kinds of calls, each with a shared part of its own.
+   * Distinct shared prefixes among the calls.
    * @default 6
    */
   readonly sharedParts?: number;
 }
 
-/** The pool that all of them go to. */
 export const POOL = 'engines';
-/** Kinds of calls of each route where none are given. */
-const SHARED_PARTS = 6;
-/** Answers are this many times their mean at least and at most. */
-const SIZE_MIN = 0.4;
-const SIZE_SPREAD = 1.2;
-/** Builds a route of model calls. */
+const DEFAULT_SHARED_PREFIXES = 6;
+/** Output length relative to the mean, uniform between the minimum and the minimum plus the spread. */
+const OUTPUT_FACTOR_MIN = 0.4;
+const OUTPUT_FACTOR_SPREAD = 1.2;
+
 export function buildPlayedRoute(name: string, route: Partial<Route>): Route {
   return {
     name,
@@ -45,16 +44,22 @@
   };
 }
 
-/** Builds the next call of a route, of random size and over one of the shared parts. */
+/** Builds a call of a route with a random output length and shared prefix. */
 export function buildCall(
-  played: PlayedRoute,
+  simulatedRoute: PlayedRoute,
   callId: string,
   receivedMs: number,
   random: Random,
 ): RoutedCall {
-  const { route, sharedTokens, ownTokens, answerTokens, sharedParts = SHARED_PARTS } = played;
-  const kind = random.nextIndex(sharedParts);
-  const size = SIZE_MIN + random.next() * SIZE_SPREAD;
+  const {
+    route,
+    sharedTokens,
+    ownTokens,
+    answerTokens,
+    sharedParts = DEFAULT_SHARED_PREFIXES,
+  } = simulatedRoute;
+  const prefixIndex = random.nextIndex(sharedParts);
+  const outputFactor = OUTPUT_FACTOR_MIN + random.next() * OUTPUT_FACTOR_SPREAD;
   return {
     callId,
     contentId: callId,
@@ -66,9 +71,9 @@
     prompt: {
       model: 'm',
       inputTokens: sharedTokens + ownTokens,
-      outputTokensMax: Math.max(1, Math.round(answerTokens * size)),
+      outputTokensMax: Math.max(1, Math.round(answerTokens * outputFactor)),
       parts: [
-        { id: `${route.name}-${kind}`, tokens: sharedTokens },
+        { id: `${route.name}-${prefixIndex}`, tokens: sharedTokens },
         { id: callId, tokens: ownTokens },
       ],
     },
@@ -79,21 +84,20 @@
   };
 }
 
-/** A mix of routes before a pool of engines. */
-export interface PlayedMix {
+export interface RouteMix {
   readonly engines: number;
-  /** The pause that lookups declare, in milliseconds. */
+  /** The gap target of the lookup route. */
   readonly lookupGapMs: number;
-  /** Kinds of calls of each route: far more than engines, as histories are. */
+  /** Distinct shared prefixes of each route. */
   readonly sharedParts: number;
 }
 
-/** Lookups, drafts and long histories, as many as keep the engines a third full. */
+/** Builds a mix of lookups, drafts and long histories that loads the engines to about a third. */
 export function buildMixedRoutes({
   engines,
   lookupGapMs,
   sharedParts,
-}: PlayedMix): readonly PlayedRoute[] {
+}: RouteMix): readonly PlayedRoute[] {
   return [
     {
       route: buildPlayedRoute('lookup', {
