--- a/src/embedded/embedded-fleet.ts
+++ b/src/embedded/embedded-fleet.ts
@@ -66,27 +66,28 @@
 
 export const ENGINE_POOL = 'language-model';
 export const SERVICE_POOL = 'stores';
-const SECRET = 'embedded-fleet-secret';
-const WAIT_MS = 15_000;
-const WAIT_STEP_MS = 10;
+const SHARED_SECRET = 'embedded-fleet-secret';
+const WAIT_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 10;
 
 /** Waits until a condition holds; throws naming it when it does not in time. */
 export async function waitUntil(
-  what: string,
+  condition: string,
   isDone: () => boolean,
-  timeoutMs = WAIT_MS,
+  timeoutMs = WAIT_TIMEOUT_MS,
 ): Promise<void> {
-  const untilMs = performance.now() + timeoutMs;
+  const deadlineMs = performance.now() + timeoutMs;
   while (!isDone()) {
-    if (performance.now() > untilMs) throw new Error(`waited ${timeoutMs} ms in vain: ${what}`);
+    if (performance.now() > deadlineMs)
+      throw new Error(`waited ${timeoutMs} ms in vain: ${condition}`);
     // eslint-disable-next-line no-await-in-loop
     await new Promise<void>((resolve) => {
-      setTimeout(resolve, WAIT_STEP_MS);
+      setTimeout(resolve, POLL_INTERVAL_MS);
     });
   }
 }
 
-function getPlace<T>(list: readonly T[], index: number): T {
+function getCyclic<T>(list: readonly T[], index: number): T {
   return list[index % list.length] as T;
 }
 
@@ -116,7 +117,7 @@
     Object.fromEntries(
       servers.map((server, index) => [
         `${prefix}-${index + 1}`,
-        { url: server.url, dataCentre: getPlace(options.dataCentres, index), slots },
+        { url: server.url, dataCentre: getCyclic(options.dataCentres, index), slots },
       ]),
     );
   return new Map([
@@ -143,20 +144,20 @@
   ]);
 }
 
-async function startEntries(options: EmbeddedFleetOptions, platformUrl: string): Promise<Router[]> {
+async function startRouters(options: EmbeddedFleetOptions, platformUrl: string): Promise<Router[]> {
   const routers: Router[] = [];
   for (let index = 0; index < options.entries; index += 1) {
     const settings: RouterOptions = {
       name: `entry-${index + 1}`,
-      dataCentre: getPlace(options.dataCentres, index),
+      dataCentre: getCyclic(options.dataCentres, index),
       platformTable: platformUrl,
       platformObjects: platformUrl,
       platformInstances: platformUrl,
       platformAccessKeyId: STANDIN_CREDENTIALS.accessKeyId,
       platformSecretAccessKey: STANDIN_CREDENTIALS.secretAccessKey,
       platformToken: STANDIN_CREDENTIALS.token,
-      peerSecret: SECRET,
-      operatorSecret: SECRET,
+      peerSecret: SHARED_SECRET,
+      operatorSecret: SHARED_SECRET,
       logLevel: options.logLevel ?? 'silent',
       seeds: routers.slice(0, 2).map((router) => router.peersAddress),
     };
@@ -196,7 +197,7 @@
     createTableClient(table, 'hyssoptally'),
     createObjectClient(objects, 'hyssoptally'),
   );
-  const routers = await startEntries(options, platform.url);
+  const routers = await startRouters(options, platform.url);
   const files = buildFiles(options, engines, services);
 
   async function publish(
--- a/src/standin/answer.ts
+++ b/src/standin/answer.ts
@@ -6,11 +6,11 @@
 
 const SYLLABLES = ['ka', 'lu', 'mi', 'no', 'pe', 'ra', 'si', 'to', 'va', 'we', 'yo', 'zu'] as const;
 const LENGTH_PATTERN = /\[length:(\d+)\]/;
-const LENGTH_MIN = 4;
-const LENGTH_MAX = 400;
+const MIN_TOKENS = 4;
+const MAX_TOKENS = 400;
 /** Shape of the heavy-tailed (Pareto) lengths: lower is heavier. */
 const PARETO_SHAPE = 1.4;
-const LENGTH_SCALE = 12;
+const PARETO_SCALE_TOKENS = 12;
 
 /** One token of the answer to a prompt, counted from 0. */
 export function buildToken(prompt: string, index: number): string {
@@ -21,17 +21,17 @@
 }
 
 /** Tokens in the whole answer: as the prompt's `[length:N]` says, else drawn from a heavy tail. */
-export function computeAnswerLength(prompt: string, maxTokens: number): number {
-  const asked = LENGTH_PATTERN.exec(prompt)?.[1];
-  if (asked !== undefined) return Math.min(maxTokens, Number(asked));
+export function computeCompletionLength(prompt: string, maxTokens: number): number {
+  const requestedLength = LENGTH_PATTERN.exec(prompt)?.[1];
+  if (requestedLength !== undefined) return Math.min(maxTokens, Number(requestedLength));
   const uniform = (hashName(prompt) + 1) / 2 ** 32;
-  const drawn = Math.round(LENGTH_SCALE / uniform ** (1 / PARETO_SHAPE));
-  return Math.min(maxTokens, Math.max(LENGTH_MIN, Math.min(LENGTH_MAX, drawn)));
+  const sampledLength = Math.round(PARETO_SCALE_TOKENS / uniform ** (1 / PARETO_SHAPE));
+  return Math.min(maxTokens, Math.max(MIN_TOKENS, Math.min(MAX_TOKENS, sampledLength)));
 }
 
 /** The whole answer to a prompt. */
 export function buildAnswer(prompt: string, maxTokens: number): string {
-  const length = computeAnswerLength(prompt, maxTokens);
+  const length = computeCompletionLength(prompt, maxTokens);
   return Array.from({ length }, (_, index) => buildToken(prompt, index)).join('');
 }
 
--- a/src/standin/batch-engine.ts
+++ b/src/standin/batch-engine.ts
@@ -12,7 +12,7 @@
   readonly priority: number;
   readonly promptTokens: number;
   /** Tokens the whole answer has. */
-  readonly answerTokens: number;
+  readonly completionTokens: number;
   /** Tokens that were produced elsewhere before. */
   readonly offset: number;
 }
@@ -37,7 +37,7 @@
 export interface BatchEngineOptions {
   readonly slots: number;
   /** Prompt tokens one sequence reads in one step. */
-  readonly prefillPerStep: number;
+  readonly prefillTokensPerStep: number;
   readonly kvTokens: number;
 }
 
@@ -48,10 +48,10 @@
   readonly kvUsed: number;
 }
 
-interface Running {
+interface RunningSequence {
   readonly request: SequenceRequest;
-  prefillLeft: number;
-  produced: number;
+  remainingPrefillTokens: number;
+  generatedTokens: number;
 }
 
 /** The batch of one engine. */
@@ -68,29 +68,29 @@
   removeAll(): string[];
 }
 
-const CACHE_EVENTS_KEPT = 1000;
+const MAX_CACHE_EVENTS = 1000;
 /** Characters of a prompt that make its prefix. */
-export const PREFIX_LENGTH = 256;
-const CACHED_PREFILL_SHARE = 0.1;
+export const CACHED_PREFIX_CHARS = 256;
+const CACHED_PREFILL_RATIO = 0.1;
 
 /** Builds an empty batch. */
 export function createBatchEngine(options: BatchEngineOptions): BatchEngine {
-  const running = new Map<string, Running>();
+  const running = new Map<string, RunningSequence>();
   let waiting: SequenceRequest[] = [];
   const prefixes = new Map<string, number>();
   let events: CacheEvent[] = [];
   let eventSequence = 0;
 
-  function recordEvent(kind: CacheEvent['kind'], prefix: string): void {
+  function recordCacheEvent(kind: CacheEvent['kind'], prefix: string): void {
     eventSequence += 1;
     events.push({ sequence: eventSequence, kind, prefix });
-    events = events.slice(-CACHE_EVENTS_KEPT);
+    events = events.slice(-MAX_CACHE_EVENTS);
   }
 
-  function countKv(): number {
+  function countKvTokens(): number {
     let used = 0;
-    for (const { request, produced } of running.values()) {
-      used += request.promptTokens + request.offset + produced;
+    for (const { request, generatedTokens } of running.values()) {
+      used += request.promptTokens + request.offset + generatedTokens;
     }
     return used;
   }
@@ -98,51 +98,55 @@
   function storePrefix(prefix: string, tokens: number): void {
     prefixes.delete(prefix);
     prefixes.set(prefix, tokens);
-    recordEvent('stored', prefix);
+    recordCacheEvent('stored', prefix);
     let cached = [...prefixes.values()].reduce((sum, size) => sum + size, 0);
     for (const [oldest, size] of prefixes) {
-      if (cached + countKv() <= options.kvTokens) break;
+      if (cached + countKvTokens() <= options.kvTokens) break;
       prefixes.delete(oldest);
-      recordEvent('evicted', oldest);
+      recordCacheEvent('evicted', oldest);
       cached -= size;
     }
   }
 
-  function computePrefill(request: SequenceRequest): number {
+  function computePrefillTokens(request: SequenceRequest): number {
     const tokens = request.promptTokens + request.offset;
-    const isCached = prefixes.has(request.prompt.slice(0, PREFIX_LENGTH));
-    return Math.ceil(tokens * (isCached ? CACHED_PREFILL_SHARE : 1));
+    const isCached = prefixes.has(request.prompt.slice(0, CACHED_PREFIX_CHARS));
+    return Math.ceil(tokens * (isCached ? CACHED_PREFILL_RATIO : 1));
   }
 
   function startWaiting(): void {
     waiting.sort((a, b) => a.priority - b.priority);
     while (waiting.length > 0 && running.size < options.slots) {
       const [next] = waiting;
-      const needed = (next?.promptTokens ?? 0) + (next?.answerTokens ?? 0);
-      if (next === undefined || countKv() + needed > options.kvTokens) return;
+      const requiredTokens = (next?.promptTokens ?? 0) + (next?.completionTokens ?? 0);
+      if (next === undefined || countKvTokens() + requiredTokens > options.kvTokens) return;
       waiting.shift();
-      running.set(next.id, { request: next, prefillLeft: computePrefill(next), produced: 0 });
+      running.set(next.id, {
+        request: next,
+        remainingPrefillTokens: computePrefillTokens(next),
+        generatedTokens: 0,
+      });
     }
   }
 
-  function advanceSequence(sequence: Running): StepEvent | undefined {
+  function advanceSequence(sequence: RunningSequence): StepEvent | undefined {
     const { request } = sequence;
-    if (sequence.prefillLeft > options.prefillPerStep) {
-      sequence.prefillLeft -= options.prefillPerStep;
+    if (sequence.remainingPrefillTokens > options.prefillTokensPerStep) {
+      sequence.remainingPrefillTokens -= options.prefillTokensPerStep;
       return undefined;
     }
-    if (sequence.prefillLeft > 0) {
-      sequence.prefillLeft = 0;
-      storePrefix(request.prompt.slice(0, PREFIX_LENGTH), request.promptTokens);
+    if (sequence.remainingPrefillTokens > 0) {
+      sequence.remainingPrefillTokens = 0;
+      storePrefix(request.prompt.slice(0, CACHED_PREFIX_CHARS), request.promptTokens);
     }
-    const index = request.offset + sequence.produced;
-    if (index >= request.answerTokens) {
+    const index = request.offset + sequence.generatedTokens;
+    if (index >= request.completionTokens) {
       // Asked to go on after the last token: the engine sees the end at once.
       running.delete(request.id);
       return { id: request.id, index, text: '', isLast: true };
     }
-    sequence.produced += 1;
-    const isLast = index + 1 >= request.answerTokens;
+    sequence.generatedTokens += 1;
+    const isLast = index + 1 >= request.completionTokens;
     if (isLast) running.delete(request.id);
     return { id: request.id, index, text: buildToken(request.prompt, index), isLast };
   }
@@ -158,14 +162,14 @@
     },
     advance() {
       startWaiting();
-      const produced: StepEvent[] = [];
+      const stepEvents: StepEvent[] = [];
       for (const sequence of [...running.values()]) {
         const event = advanceSequence(sequence);
-        if (event !== undefined) produced.push(event);
+        if (event !== undefined) stepEvents.push(event);
       }
-      return produced;
+      return stepEvents;
     },
-    getLoad: () => ({ running: running.size, waiting: waiting.length, kvUsed: countKv() }),
+    getLoad: () => ({ running: running.size, waiting: waiting.length, kvUsed: countKvTokens() }),
     listCacheEvents: (after) => events.filter((event) => event.sequence > after),
     listPrefixes: () => [...prefixes.keys()],
     addPrefixes(imported) {
--- a/src/standin/engine.ts
+++ b/src/standin/engine.ts
@@ -6,7 +6,7 @@
 import express from 'express';
 import type { Request, Response } from 'express';
 import { z } from 'zod';
-import { computeAnswerLength, countTokens } from './answer.js';
+import { computeCompletionLength, countTokens } from './answer.js';
 import { createBatchEngine } from './batch-engine.js';
 import type { EngineLoad, StepEvent } from './batch-engine.js';
 import { startHttpServer } from './http-server.js';
@@ -62,7 +62,7 @@
   /** @default 200000 */
   readonly kvTokens?: number;
   /** @default 512 */
-  readonly prefillPerStep?: number;
+  readonly prefillTokensPerStep?: number;
   /** Age of a load report, in milliseconds. @default 1000 */
   readonly reportLagMs?: number;
   /** Whether an order with an old fencing number is refused. @default true */
@@ -84,10 +84,10 @@
   readonly id: string;
   readonly model: string;
   readonly response: Response;
-  sent: number;
-  readonly breakAfter: number;
+  sentEvents: number;
+  readonly breakAfterEvents: number;
   readonly isTruncated: boolean;
-  held: string | undefined;
+  delayedFrame: string | undefined;
 }
 
 const completionSchema = z.object({
@@ -105,7 +105,7 @@
 
 const REPORT_PERIOD_MS = 100;
 /** One cache event in this many is never published. */
-const CACHE_EVENT_GAP = 7;
+const CACHE_EVENT_DROP_INTERVAL = 7;
 const BREAK_AFTER_TOKENS = 5;
 
 function createFaults(): EngineFaults {
@@ -139,12 +139,12 @@
   const batch = createBatchEngine({
     slots,
     kvTokens: options.kvTokens ?? 200_000,
-    prefillPerStep: options.prefillPerStep ?? 512,
+    prefillTokensPerStep: options.prefillTokensPerStep ?? 512,
   });
   const exchanges = new Map<string, Exchange>();
   const models = new Set(options.models ?? []);
   let fence = 0;
-  const reports: { readonly atMs: number; readonly load: EngineLoad }[] = [];
+  const loadReports: { readonly atMs: number; readonly load: EngineLoad }[] = [];
 
   function buildFrame(exchange: Exchange, id: string, event: StepEvent): string {
     const frame = {
@@ -159,9 +159,9 @@
 
   function sendFrame(exchange: Exchange, event: StepEvent): void {
     const frame = buildFrame(exchange, exchange.id, event);
-    if (faults.reorderedFrames > 0 && exchange.held === undefined && !event.isLast) {
+    if (faults.reorderedFrames > 0 && exchange.delayedFrame === undefined && !event.isLast) {
       faults.reorderedFrames -= 1;
-      exchange.held = frame;
+      exchange.delayedFrame = frame;
       return;
     }
     let text = frame;
@@ -173,8 +173,8 @@
       faults.duplicateFrames -= 1;
       text += frame;
     }
-    text += exchange.held ?? '';
-    exchange.held = undefined;
+    text += exchange.delayedFrame ?? '';
+    exchange.delayedFrame = undefined;
     exchange.response.write(text);
   }
 
@@ -188,8 +188,8 @@
     const exchange = exchanges.get(event.id);
     if (exchange === undefined) return;
     if (event.text !== '') sendFrame(exchange, event);
-    exchange.sent += 1;
-    if (exchange.sent >= exchange.breakAfter && !event.isLast) {
+    exchange.sentEvents += 1;
+    if (exchange.sentEvents >= exchange.breakAfterEvents && !event.isLast) {
       closeExchange(exchange);
       if (exchange.isTruncated) exchange.response.end();
       else exchange.response.destroy();
@@ -230,15 +230,15 @@
     }
     const { messages, max_tokens: maxTokens, priority } = parsed.data;
     const isContinued = parsed.data.continue_final_message;
-    const produced = isContinued ? (messages.at(-1)?.content ?? '') : '';
-    const asked = isContinued ? messages.slice(0, -1) : messages;
-    const prompt = asked.map((message) => message.content).join('\n');
+    const partialCompletion = isContinued ? (messages.at(-1)?.content ?? '') : '';
+    const inputMessages = isContinued ? messages.slice(0, -1) : messages;
+    const prompt = inputMessages.map((message) => message.content).join('\n');
     const id = request.get('x-request-id') ?? `${name}-${counts.started.size}`;
     const isBroken = faults.brokenAnswers > 0;
     const isTruncated = !isBroken && faults.truncatedAnswers > 0;
     if (isBroken) faults.brokenAnswers -= 1;
     if (isTruncated) faults.truncatedAnswers -= 1;
-    const offset = countTokens(produced);
+    const offset = countTokens(partialCompletion);
     counts.started.set(id, (counts.started.get(id) ?? 0) + 1);
     response.set({ 'content-type': 'text/event-stream', 'x-request-id': id });
     response.flushHeaders();
@@ -247,18 +247,18 @@
       id,
       model: parsed.data.model,
       response,
-      sent: 0,
-      breakAfter: isBroken || isTruncated ? BREAK_AFTER_TOKENS : Infinity,
+      sentEvents: 0,
+      breakAfterEvents: isBroken || isTruncated ? BREAK_AFTER_TOKENS : Infinity,
       isTruncated,
-      held: undefined,
+      delayedFrame: undefined,
     });
-    const total = computeAnswerLength(prompt, maxTokens + (isContinued ? offset : 0));
+    const totalTokens = computeCompletionLength(prompt, maxTokens + (isContinued ? offset : 0));
     batch.add({
       id,
       prompt,
       priority,
       promptTokens: Math.ceil(prompt.length / 4),
-      answerTokens: total,
+      completionTokens: totalTokens,
       offset,
     });
     response.on('close', () => {
@@ -288,10 +288,10 @@
     response.json({ fence, models: [...models] });
   }
 
-  function getReport(): EngineLoad {
+  function getReportedLoad(): EngineLoad {
     const asOfMs = performance.now() - reportLagMs;
-    const past = reports.findLast((report) => report.atMs <= asOfMs);
-    return past?.load ?? { running: 0, waiting: 0, kvUsed: 0 };
+    const latestReport = loadReports.findLast((report) => report.atMs <= asOfMs);
+    return latestReport?.load ?? { running: 0, waiting: 0, kvUsed: 0 };
   }
 
   const app = express();
@@ -309,7 +309,7 @@
   app.post('/v1/orders', handleOrder);
   app.get('/load', (_, response) => {
     response.json({
-      ...getReport(),
+      ...getReportedLoad(),
       isLeaving: faults.isLeaving,
       models: [...models],
       fence,
@@ -318,7 +318,7 @@
   });
   app.get('/cache-events', (request, response) => {
     const events = batch.listCacheEvents(Number(request.query.after ?? 0));
-    response.json(events.filter((event) => event.sequence % CACHE_EVENT_GAP !== 0));
+    response.json(events.filter((event) => event.sequence % CACHE_EVENT_DROP_INTERVAL !== 0));
   });
   app.get('/kv', (_, response) => {
     response.json({ prefixes: batch.listPrefixes() });
@@ -337,18 +337,18 @@
 
   // Steps follow a schedule rather than a period: a late timer must not lengthen every later step.
   let isStopped = false;
-  let dueMs = performance.now();
-  let timer: NodeJS.Timeout;
+  let nextStepMs = performance.now();
+  let stepTimer: NodeJS.Timeout;
   function runSteps(): void {
     if (isStopped) return;
     handleStep();
-    dueMs = Math.max(dueMs + stepMs * faults.slowdown, performance.now() - stepMs);
-    timer = setTimeout(runSteps, Math.max(0, dueMs - performance.now()));
+    nextStepMs = Math.max(nextStepMs + stepMs * faults.slowdown, performance.now() - stepMs);
+    stepTimer = setTimeout(runSteps, Math.max(0, nextStepMs - performance.now()));
   }
-  timer = setTimeout(runSteps, stepMs);
-  const reporter = setInterval(() => {
-    reports.push({ atMs: performance.now(), load: batch.getLoad() });
-    if (reports.length > 200) reports.shift();
+  stepTimer = setTimeout(runSteps, stepMs);
+  const reportTimer = setInterval(() => {
+    loadReports.push({ atMs: performance.now(), load: batch.getLoad() });
+    if (loadReports.length > 200) loadReports.shift();
   }, REPORT_PERIOD_MS);
 
   return {
@@ -360,8 +360,8 @@
     getFence: () => fence,
     close() {
       isStopped = true;
-      clearTimeout(timer);
-      clearInterval(reporter);
+      clearTimeout(stepTimer);
+      clearInterval(reportTimer);
       return server.close();
     },
   };
--- a/src/standin/platform-faults.ts
+++ b/src/standin/platform-faults.ts
@@ -40,15 +40,18 @@
 };
 
 /** Builds a gate that opens `getRate()` times a second, with a second's burst. */
-export function createRateGate(getRate: () => number): () => boolean {
-  let allowance = getRate();
-  let lastMs = performance.now();
+export function createRateLimiter(getRate: () => number): () => boolean {
+  let availableTokens = getRate();
+  let lastRefillMs = performance.now();
   return () => {
     const nowMs = performance.now();
-    allowance = Math.min(getRate(), allowance + ((nowMs - lastMs) / 1000) * getRate());
-    lastMs = nowMs;
-    if (allowance < 1) return false;
-    allowance -= 1;
+    availableTokens = Math.min(
+      getRate(),
+      availableTokens + ((nowMs - lastRefillMs) / 1000) * getRate(),
+    );
+    lastRefillMs = nowMs;
+    if (availableTokens < 1) return false;
+    availableTokens -= 1;
     return true;
   };
 }
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -8,25 +8,25 @@
 import type { Request, Response } from 'express';
 import type { ListedInstance } from '../storage/instance-list-client.js';
 import { startHttpServer } from './http-server.js';
-import { NO_FAULTS, createRateGate, platformFaultsSchema } from './platform-faults.js';
+import { NO_FAULTS, createRateLimiter, platformFaultsSchema } from './platform-faults.js';
 import type { PlatformFaults } from './platform-faults.js';
 import type { RunningServer } from './http-server.js';
 
-interface WireItem {
+interface TableItem {
   readonly pk: { readonly S: string };
   readonly sk: { readonly S: string };
   readonly version: { readonly N: string };
 }
 
 interface PutOperation {
-  readonly Item: WireItem;
+  readonly Item: TableItem;
   readonly ConditionExpression?: string;
   readonly ExpressionAttributeValues?: Readonly<Record<string, { readonly N: string }>>;
 }
 
-interface PastItem {
-  readonly item: WireItem;
-  readonly writtenMs: number;
+interface ItemVersion {
+  readonly item: TableItem;
+  readonly writtenAtMs: number;
 }
 
 /** Settings of the stand-in. */
@@ -61,8 +61,8 @@
   token: 'standin-token',
 } as const;
 
-const LISTED_FOR_MS = 10_000;
-const VERSIONS_KEPT = 50;
+const INSTANCE_EXPIRY_MS = 10_000;
+const MAX_ITEM_VERSIONS = 50;
 /** Starts a platform on loopback. */
 export async function startPlatformStandin(
   options: PlatformStandinOptions = {},
@@ -75,29 +75,29 @@
   const listLagMs = options.listLagMs ?? 2000;
   let faults: PlatformFaults = { ...NO_FAULTS };
   const counts: PlatformCounts = { reads: 0, writes: 0, conflicts: 0, throttled: 0 };
-  const tables = new Map<string, Map<string, PastItem[]>>();
+  const tables = new Map<string, Map<string, ItemVersion[]>>();
   const objects = new Map<string, string>();
   const instances = new Map<
     string,
-    { instance: ListedInstance; sinceMs: number; seenMs: number }
+    { instance: ListedInstance; registeredAtMs: number; lastSeenMs: number }
   >();
-  const hasReadAllowance = createRateGate(() => faults.readsPerSecond);
-  const hasWriteAllowance = createRateGate(() => faults.writesPerSecond);
+  const takeReadToken = createRateLimiter(() => faults.readsPerSecond);
+  const takeWriteToken = createRateLimiter(() => faults.writesPerSecond);
 
-  function getPartition(partition: string): Map<string, PastItem[]> {
-    const known = tables.get(partition) ?? new Map<string, PastItem[]>();
-    tables.set(partition, known);
-    return known;
+  function getPartition(partition: string): Map<string, ItemVersion[]> {
+    const items = tables.get(partition) ?? new Map<string, ItemVersion[]>();
+    tables.set(partition, items);
+    return items;
   }
 
   function findItem(
     partition: string,
     sort: string,
     isStaleAllowed: boolean,
-  ): WireItem | undefined {
-    const past = getPartition(partition).get(sort) ?? [];
+  ): TableItem | undefined {
+    const versions = getPartition(partition).get(sort) ?? [];
     const asOfMs = performance.now() - (isStaleAllowed ? faults.staleMs : 0);
-    return past.findLast((version) => version.writtenMs <= asOfMs)?.item;
+    return versions.findLast((version) => version.writtenAtMs <= asOfMs)?.item;
   }
 
   function isConditionMet(put: PutOperation): boolean {
@@ -115,8 +115,11 @@
     }
     for (const { Item: item } of puts) {
       const partition = getPartition(item.pk.S);
-      const past = [...(partition.get(item.sk.S) ?? []), { item, writtenMs: performance.now() }];
-      partition.set(item.sk.S, past.slice(-VERSIONS_KEPT));
+      const versions = [
+        ...(partition.get(item.sk.S) ?? []),
+        { item, writtenAtMs: performance.now() },
+      ];
+      partition.set(item.sk.S, versions.slice(-MAX_ITEM_VERSIONS));
     }
     return true;
   }
@@ -187,7 +190,7 @@
     const operation = String(request.headers['x-amz-target']).split('.')[1];
     const body = JSON.parse(text) as Record<string, unknown>;
     const isWrite = operation === 'TransactWriteItems';
-    if (!(isWrite ? hasWriteAllowance() : hasReadAllowance())) {
+    if (!(isWrite ? takeWriteToken() : takeReadToken())) {
       counts.throttled += 1;
       sendTableError(response, 'ThrottlingException');
       return;
@@ -205,7 +208,7 @@
       handleQuery(response, body);
       return;
     }
-    const key = body.Key as Pick<WireItem, 'pk' | 'sk'>;
+    const key = body.Key as Pick<TableItem, 'pk' | 'sk'>;
     const item = findItem(key.pk.S, key.sk.S, true);
     response.json(item === undefined ? {} : { Item: item });
   }
@@ -232,23 +235,31 @@
   function listInstances(): ListedInstance[] {
     const nowMs = performance.now();
     return [...instances.values()]
-      .filter((entry) => nowMs - entry.sinceMs >= listLagMs && nowMs - entry.seenMs < LISTED_FOR_MS)
+      .filter(
+        (entry) =>
+          nowMs - entry.registeredAtMs >= listLagMs &&
+          nowMs - entry.lastSeenMs < INSTANCE_EXPIRY_MS,
+      )
       .map((entry) => entry.instance);
   }
 
-  function handleAnnouncement(request: Request, response: Response): void {
+  function handleRegistration(request: Request, response: Response): void {
     const instance = JSON.parse(String(request.body)) as ListedInstance;
     const known = instances.get(instance.name);
     const nowMs = performance.now();
-    const isChanged = known !== undefined && known.instance.state !== instance.state;
+    const isStateChanged = known !== undefined && known.instance.state !== instance.state;
     // A change of state shows only after the lag, as in the real list.
-    if (isChanged)
+    if (isStateChanged)
       setTimeout(
-        () => instances.set(instance.name, { instance, sinceMs: 0, seenMs: nowMs }),
+        () => instances.set(instance.name, { instance, registeredAtMs: 0, lastSeenMs: nowMs }),
         listLagMs,
       ).unref();
     else
-      instances.set(instance.name, { instance, sinceMs: known?.sinceMs ?? nowMs, seenMs: nowMs });
+      instances.set(instance.name, {
+        instance,
+        registeredAtMs: known?.registeredAtMs ?? nowMs,
+        lastSeenMs: nowMs,
+      });
     response.json({});
   }
 
@@ -275,7 +286,7 @@
   app.get('/instances', (_, response) => {
     response.json(listInstances());
   });
-  app.put('/instances/:name', handleAnnouncement);
+  app.put('/instances/:name', handleRegistration);
   app.post('/', handleTable);
   app.use(handleObject);
   const server = await startHttpServer(app, options.port ?? 0);
--- a/src/standin/service.ts
+++ b/src/standin/service.ts
@@ -33,13 +33,13 @@
   };
   const runs = new Map<string, number>();
 
-  function sendAnswer(response: Response, call: object): void {
+  function sendResult(response: Response, result: object): void {
     if (faults.lostAnswers > 0) {
       faults.lostAnswers -= 1;
       response.destroy();
       return;
     }
-    response.json(call);
+    response.json(result);
   }
 
   const app = express();
@@ -65,8 +65,8 @@
     const key = request.get('idempotency-key') ?? request.get('x-request-id') ?? 'none';
     runs.set(key, (runs.get(key) ?? 0) + 1);
     const body = typeof request.body === 'string' ? request.body : '';
-    const answer = { service: name, method: request.method, path: request.originalUrl, body };
-    setTimeout(() => sendAnswer(response, answer), faults.delayMs);
+    const result = { service: name, method: request.method, path: request.originalUrl, body };
+    setTimeout(() => sendResult(response, result), faults.delayMs);
   });
   const server = await startHttpServer(app, port);
   return { ...server, faults, runs };
