--- a/src/embedded/embedded-fleet.ts
+++ b/src/embedded/embedded-fleet.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one process on loopback: stand-ins and real routers, for demo and bench. */
+/** Runs routers and stand-ins in one process on loopback, for the demo and the benchmarks. */
 import { randomUUID } from 'node:crypto';
 import { stringify } from 'yaml';
 import { formatPublishError, publishFiles } from '../configuration/publish.js';
@@ -20,7 +20,7 @@
 import { hashText } from '../utils/hash.js';
 import type { ClassDeclaration } from '../types/declarations.js';
 
-/** An organisation of an embedded deployment, with its key in the clear. */
+/** An organisation with its plain-text key; the published declaration contains the key's hash. */
 export interface EmbeddedOrganisation {
   readonly name: string;
   readonly key: string;
@@ -29,12 +29,11 @@
   readonly limits?: { readonly concurrency: number; readonly requestsPerSecond: number };
 }
 
-/** What to start. */
 export interface EmbeddedFleetOptions {
   readonly dataCentres: readonly string[];
   readonly entries: number;
   readonly engines: number;
-  /** Engines that run elsewhere, besides those started here. */
+  /** Engines in other processes, in addition to those started here. */
   readonly engineUrls?: readonly string[];
   readonly services: number;
   readonly slots: number;
@@ -47,16 +46,15 @@
   readonly reportLagMs?: number;
 }
 
-/** A running deployment. */
 export interface EmbeddedFleet {
   readonly platform: PlatformStandin;
   readonly engines: readonly EngineStandin[];
   readonly services: readonly ServiceStandin[];
   readonly routers: readonly Router[];
   readonly store: ConfigurationStore;
-  /** The declarations as published, by file name. */
+  /** Initially published declarations by file name. */
   readonly files: ReadonlyMap<string, string>;
-  /** Publishes files and waits until every router has them in force; the time that took. */
+  /** Publishes files, waits until every router applies them and returns the time taken. */
   publish(
     files: ReadonlyMap<string, string>,
     who: string,
@@ -70,7 +68,7 @@
 const WAIT_TIMEOUT_MS = 15_000;
 const POLL_INTERVAL_MS = 10;
 
-/** Waits until a condition holds; throws naming it when it does not in time. */
+/** Polls until `isDone` returns true; throws an error with the condition's description on timeout. */
 export async function waitUntil(
   condition: string,
   isDone: () => boolean,
@@ -91,7 +89,7 @@
   return list[index % list.length] as T;
 }
 
-/** The declarations of a deployment as files. */
+/** Builds the declaration files. */
 function buildFiles(
   options: EmbeddedFleetOptions,
   engines: readonly EngineStandin[],
@@ -161,14 +159,14 @@
       logLevel: options.logLevel ?? 'silent',
       seeds: routers.slice(0, 2).map((router) => router.peersAddress),
     };
-    // One after the other: each names the first ones as its seeds.
+    // Sequential, because each router needs the addresses of the first two as seeds.
     // eslint-disable-next-line no-await-in-loop
     routers.push(await startRouter(settings, options.internals));
   }
   return routers;
 }
 
-/** Starts a deployment and publishes its declarations. */
+/** Starts the fleet and publishes its declarations. */
 export async function startEmbeddedFleet(options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
   const platform = await startPlatformStandin({ listLagMs: 500 });
   const engines = await Promise.all(
--- a/src/standin/answer.ts
+++ b/src/standin/answer.ts
@@ -1,6 +1,6 @@
 /**
- * What a stand-in engine answers: a text fixed by the prompt alone, so that any caller can check
- * that it got the whole answer to its own request, whichever engines produced it.
+ * Deterministic completions for stand-in engines. The text depends only on the prompt, so a caller
+ * can verify a completion that several engines produced in turn.
  */
 import { hashName } from '../utils/hash.js';
 
@@ -8,11 +8,11 @@
 const LENGTH_PATTERN = /\[length:(\d+)\]/;
 const MIN_TOKENS = 4;
 const MAX_TOKENS = 400;
-/** Shape of the heavy-tailed (Pareto) lengths: lower is heavier. */
+/** Shape of the Pareto distribution of lengths; a lower value gives a heavier tail. */
 const PARETO_SHAPE = 1.4;
 const PARETO_SCALE_TOKENS = 12;
 
-/** One token of the answer to a prompt, counted from 0. */
+/** Builds the token at a zero-based position of the completion. */
 export function buildToken(prompt: string, index: number): string {
   const hash = hashName(`${prompt}#${index}`);
   const first = SYLLABLES[hash % SYLLABLES.length];
@@ -20,7 +20,7 @@
   return `${first}${second} `;
 }
 
-/** Tokens in the whole answer: as the prompt's `[length:N]` says, else drawn from a heavy tail. */
+/** Returns the `[length:N]` of the prompt, or else a Pareto-distributed length derived from its hash. */
 export function computeCompletionLength(prompt: string, maxTokens: number): number {
   const requestedLength = LENGTH_PATTERN.exec(prompt)?.[1];
   if (requestedLength !== undefined) return Math.min(maxTokens, Number(requestedLength));
@@ -29,13 +29,11 @@
   return Math.min(maxTokens, Math.max(MIN_TOKENS, Math.min(MAX_TOKENS, sampledLength)));
 }
 
-/** The whole answer to a prompt. */
 export function buildAnswer(prompt: string, maxTokens: number): string {
   const length = computeCompletionLength(prompt, maxTokens);
   return Array.from({ length }, (_, index) => buildToken(prompt, index)).join('');
 }
 
-/** Tokens in a piece of an answer. */
 export function countTokens(text: string): number {
   return text.split(' ').filter((word) => word !== '').length;
 }
--- a/src/standin/batch-engine.ts
+++ b/src/standin/batch-engine.ts
@@ -1,47 +1,44 @@
 /**
- * The engine's batch, free of I/O: sequences that share steps, a memory for KV and prefixes, and
- * priorities. One step gives every running sequence one token or a piece of its prefill.
+ * Continuous batching without I/O: priority scheduling, KV memory and a prefix cache. Each step
+ * advances every running sequence by one token or one chunk of its prefill.
  */
 import { buildToken } from './answer.js';
 
-/** A sequence as the engine was given it. */
 export interface SequenceRequest {
   readonly id: string;
   readonly prompt: string;
-  /** Lower runs first, as the published `priority` field has it. */
+  /** Lower values run first, as in the chat-completions `priority` field. */
   readonly priority: number;
   readonly promptTokens: number;
-  /** Tokens the whole answer has. */
+  /** Length of the whole completion, including tokens generated elsewhere. */
   readonly completionTokens: number;
-  /** Tokens that were produced elsewhere before. */
+  /** Number of tokens that another engine generated before this request. */
   readonly offset: number;
 }
 
-/** What one step brought. */
+/** Output of one step for one sequence. */
 export interface StepEvent {
   readonly id: string;
-  /** Position in the whole answer. */
+  /** Zero-based position in the whole completion. */
   readonly index: number;
   readonly text: string;
   readonly isLast: boolean;
 }
 
-/** A prefix entering or leaving the cache. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: 'stored' | 'evicted';
   readonly prefix: string;
 }
 
-/** Settings of a batch. */
 export interface BatchEngineOptions {
   readonly slots: number;
-  /** Prompt tokens one sequence reads in one step. */
+  /** Prefill tokens that one sequence processes in one step. */
   readonly prefillTokensPerStep: number;
   readonly kvTokens: number;
 }
 
-/** Load as it truly is; reports of it lag. */
+/** Current load; `GET /load` reports it with a delay. */
 export interface EngineLoad {
   readonly running: number;
   readonly waiting: number;
@@ -54,26 +51,25 @@
   generatedTokens: number;
 }
 
-/** The batch of one engine. */
 export interface BatchEngine {
   add(request: SequenceRequest): void;
-  /** Frees the sequence's place at once; true if it was known. */
+  /** Cancels a running or waiting sequence; returns false if there is none with this id. */
   remove(id: string): boolean;
   advance(): StepEvent[];
   getLoad(): EngineLoad;
   listCacheEvents(after: number): CacheEvent[];
-  /** Prefixes in the cache, for export; `addPrefixes` imports them. */
   listPrefixes(): string[];
   addPrefixes(prefixes: readonly string[]): void;
+  /** Cancels all sequences and returns their ids. */
   removeAll(): string[];
 }
 
 const MAX_CACHE_EVENTS = 1000;
-/** Characters of a prompt that make its prefix. */
+/** Prompts are cached by this many leading characters. */
 export const CACHED_PREFIX_CHARS = 256;
+/** Share of the prefill that remains on a prefix cache hit. */
 const CACHED_PREFILL_RATIO = 0.1;
 
-/** Builds an empty batch. */
 export function createBatchEngine(options: BatchEngineOptions): BatchEngine {
   const running = new Map<string, RunningSequence>();
   let waiting: SequenceRequest[] = [];
@@ -141,7 +137,7 @@
     }
     const index = request.offset + sequence.generatedTokens;
     if (index >= request.completionTokens) {
-      // Asked to go on after the last token: the engine sees the end at once.
+      // The partial completion to continue was already complete.
       running.delete(request.id);
       return { id: request.id, index, text: '', isLast: true };
     }
--- a/src/standin/engine.ts
+++ b/src/standin/engine.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine as a stand-in, over the published chat-completions protocol with the `priority` and
- * `continue_final_message` fields; a request's id comes in `x-request-id` and is echoed in every
- * frame. Load is reported with a lag, cache events late and with gaps. Faults by `POST /faults`.
+ * Stand-in for a model engine: streams chat completions, with the `priority` and
+ * `continue_final_message` fields. Every frame carries the id from `x-request-id`. Load reports are
+ * delayed and some cache events are dropped. `POST /faults` injects faults.
  */
 import express from 'express';
 import type { Request, Response } from 'express';
@@ -12,66 +12,63 @@
 import { startHttpServer } from './http-server.js';
 import type { RunningServer } from './http-server.js';
 
-/** Faults of an engine; all off at the start. */
+/** Injected faults; all are off initially. */
 export interface EngineFaults {
-  /** Steps take this many times longer. */
+  /** Factor by which steps take longer. */
   slowdown: number;
-  /** No step happens, connections stay open. */
+  /** Stops generating tokens; connections stay open. */
   isFrozen: boolean;
-  /** Refuses new requests as leaving; what runs goes on. */
+  /** Drains: rejects new requests and finishes running ones. */
   isLeaving: boolean;
-  /** Every request is answered 500 before it runs. */
+  /** Answers every request with status 500 without running it. */
   isFailing: boolean;
-  /** This many next frames are sent twice. */
+  /** Number of upcoming frames to send twice. */
   duplicateFrames: number;
-  /** This many next frames carry another request's id first. */
+  /** Number of upcoming frames to precede with a frame of another request. */
   crossedFrames: number;
-  /** This many next frames are sent after the one that follows them. */
+  /** Number of upcoming frames to swap with their successor. */
   reorderedFrames: number;
-  /** This many next answers break off after a few tokens, connection closed. */
+  /** Number of upcoming responses to reset after a few tokens. */
   brokenAnswers: number;
-  /** This many next answers end cleanly, short, and without the end marker. */
+  /** Number of upcoming responses to end after a few tokens, without `[DONE]`. */
   truncatedAnswers: number;
 }
 
-/** What an engine counted. */
+/** Counters served by `GET /counts`. */
 export interface EngineCounts {
-  /** Tokens produced in steps. */
   tokens: number;
-  /** Sequences that started, by request id. */
+  /** Number of accepted requests by request id. */
   readonly started: Map<string, number>;
   cancelled: number;
-  /** Requests turned away because the engine is leaving. */
+  /** Requests rejected while draining. */
   turnedAway: number;
   completed: number;
   ordersApplied: number;
   ordersRefused: number;
-  /** Models loaded since the start; a reconcile loop should need few. */
+  /** Number of model loads; a high count shows a reconcile loop that flaps. */
   loads: number;
 }
 
-/** Settings of an engine stand-in. */
 export interface EngineStandinOptions {
   readonly name: string;
-  /** @default 0 (chosen by the system) */
+  /** @default 0 (any free port) */
   readonly port?: number;
-  /** Time of one step, in milliseconds. @default 30 */
+  /** Duration of one step. @default 30 */
   readonly stepMs?: number;
-  /** @default 8 */
+  /** Maximum number of running sequences. @default 8 */
   readonly slots?: number;
-  /** @default 200000 */
+  /** Capacity of the KV memory. @default 200000 */
   readonly kvTokens?: number;
   /** @default 512 */
   readonly prefillTokensPerStep?: number;
-  /** Age of a load report, in milliseconds. @default 1000 */
+  /** Delay of load reports. @default 1000 */
   readonly reportLagMs?: number;
-  /** Whether an order with an old fencing number is refused. @default true */
+  /** Whether orders with an outdated fencing token are refused. @default true */
   readonly isFencing?: boolean;
-  /** Models loaded at the start. */
+  /** Models loaded at start. */
   readonly models?: readonly string[];
 }
 
-/** A running engine. */
 export interface EngineStandin extends RunningServer {
   readonly name: string;
   readonly faults: EngineFaults;
@@ -104,7 +101,7 @@
 });
 
 const REPORT_PERIOD_MS = 100;
-/** One cache event in this many is never published. */
+/** Every nth cache event is dropped. */
 const CACHE_EVENT_DROP_INTERVAL = 7;
 const BREAK_AFTER_TOKENS = 5;
 
@@ -122,7 +119,6 @@
   };
 }
 
-/** Starts an engine on loopback. */
 export async function startEngineStandin(options: EngineStandinOptions): Promise<EngineStandin> {
   const { name, stepMs = 30, slots = 8, reportLagMs = 1000, isFencing = true } = options;
   const faults = createFaults();
@@ -335,7 +331,7 @@
   });
   const server = await startHttpServer(app, options.port ?? 0);
 
-  // Steps follow a schedule rather than a period: a late timer must not lengthen every later step.
+  // Each step is scheduled from the due time of the previous one, so that timer delays do not add up.
   let isStopped = false;
   let nextStepMs = performance.now();
   let stepTimer: NodeJS.Timeout;
--- a/src/standin/http-server.ts
+++ b/src/standin/http-server.ts
@@ -1,16 +1,15 @@
-/** Starts and stops an HTTP server on loopback for a stand-in. */
+/** HTTP server that the stand-ins share. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { RequestListener } from 'node:http';
 
-/** A server that listens. */
 export interface RunningServer {
   readonly url: string;
   readonly port: number;
   close(): Promise<void>;
 }
 
-/** Serves on a port (0: chosen by the system) and an address of this machine. */
+/** Starts a server and waits until it listens; port 0 selects any free port. */
 export async function startHttpServer(
   listener: RequestListener,
   port: number,
--- a/src/standin/platform-faults.ts
+++ b/src/standin/platform-faults.ts
@@ -1,23 +1,22 @@
-/** Faults of the platform's stand-in, and its rate limits. */
+/** Injected faults and rate limits of the platform stand-in. */
 import { z } from 'zod';
 
-/** Faults of the platform; all off at the start. */
+/** Body of `POST /faults`; fields that are left out keep their value. */
 export const platformFaultsSchema = z
   .object({
-    /** Every call is answered 503. */
+    /** Answers every request with status 503. */
     isDown: z.boolean(),
-    /** Calls get no answer at all. */
+    /** Leaves every request without a response. */
     isSilent: z.boolean(),
-    /** Added to every call, in milliseconds. */
+    /** Delay added to every request. */
     delayMs: z.number().min(0),
-    /** This many next writes take effect, and their answers are lost. */
+    /** Number of upcoming writes to apply while dropping the response. */
     lostAnswers: z.number().int().min(0),
-    /** This many next writes are answered late by nothing and take effect `lateWriteMs` later. */
+    /** Number of upcoming writes to leave without a response and apply after `lateWriteMs`. */
     lateWrites: z.number().int().min(0),
     lateWriteMs: z.number().min(0),
-    /** Reads answer as of this many milliseconds ago. */
+    /** Age of the data that reads return. */
     staleMs: z.number().min(0),
-    /** Writes and reads allowed a second. */
     writesPerSecond: z.number().positive(),
     readsPerSecond: z.number().positive(),
   })
@@ -26,7 +25,6 @@
 
 export type PlatformFaults = Required<z.infer<typeof platformFaultsSchema>>;
 
-/** Everything works, at the rates the brief gives. */
 export const NO_FAULTS: PlatformFaults = {
   isDown: false,
   isSilent: false,
@@ -39,7 +37,7 @@
   readsPerSecond: 2000,
 };
 
-/** Builds a gate that opens `getRate()` times a second, with a second's burst. */
+/** Creates a token bucket that refills at `getRate()` per second and holds one second's worth. */
 export function createRateLimiter(getRate: () => number): () => boolean {
   let availableTokens = getRate();
   let lastRefillMs = performance.now();
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -1,6 +1,6 @@
 /**
- * The platform as a stand-in: a transactional table service, an object store and a lagging list of
- * instances, in memory, with faults switched on by `POST /faults`.
+ * In-memory stand-in for the platform: a transactional table service, an object store and an
+ * instance list that is updated with a delay. `POST /faults` injects faults.
  */
 import { createHash } from 'node:crypto';
 import aws4 from 'aws4';
@@ -29,18 +29,17 @@
   readonly writtenAtMs: number;
 }
 
-/** Settings of the stand-in. */
 export interface PlatformStandinOptions {
-  /** @default 0 (chosen by the system) */
+  /** @default 0 (any free port) */
   readonly port?: number;
-  /** @default 2000 */
+  /** Delay before a change appears in the instance list. @default 2000 */
   readonly listLagMs?: number;
   readonly accessKeyId?: string;
   readonly secretAccessKey?: string;
   readonly token?: string;
 }
 
-/** What the stand-in counted. */
+/** Counters served by `GET /counts`. */
 export interface PlatformCounts {
   reads: number;
   writes: number;
@@ -48,13 +47,12 @@
   throttled: number;
 }
 
-/** A running platform. */
 export interface PlatformStandin extends RunningServer {
   setFaults(faults: Partial<PlatformFaults>): void;
   readonly counts: PlatformCounts;
 }
 
-/** Credentials the stand-in takes unless told otherwise; for tests and the demo only. */
+/** Default credentials, for tests and the demo only. */
 export const STANDIN_CREDENTIALS = {
   accessKeyId: 'standin',
   secretAccessKey: 'standin-secret',
@@ -63,7 +61,7 @@
 
 const INSTANCE_EXPIRY_MS = 10_000;
 const MAX_ITEM_VERSIONS = 50;
-/** Starts a platform on loopback. */
+
 export async function startPlatformStandin(
   options: PlatformStandinOptions = {},
 ): Promise<PlatformStandin> {
@@ -154,7 +152,7 @@
   function handleTransact(response: Response, puts: readonly PutOperation[]): void {
     counts.writes += puts.length;
     if (faults.lateWrites > 0) {
-      // The write waits somewhere on the way: no answer now, the effect later.
+      // Simulates a write delayed in the network: the client times out and the write applies later.
       faults.lateWrites -= 1;
       setTimeout(() => applyPuts(puts), faults.lateWriteMs).unref();
       return;
@@ -248,7 +246,7 @@
     const known = instances.get(instance.name);
     const nowMs = performance.now();
     const isStateChanged = known !== undefined && known.instance.state !== instance.state;
-    // A change of state shows only after the lag, as in the real list.
+    // A state change becomes visible only after the delay, as in the real list.
     if (isStateChanged)
       setTimeout(
         () => instances.set(instance.name, { instance, registeredAtMs: 0, lastSeenMs: nowMs }),
--- a/src/standin/service.ts
+++ b/src/standin/service.ts
@@ -1,29 +1,27 @@
-/** A plain service as a stand-in: echoes, and counts how often it ran each call. */
+/** Stand-in for a plain service: echoes requests and counts how often each one ran. */
 import express from 'express';
 import type { Response } from 'express';
 import { startHttpServer } from './http-server.js';
 import type { RunningServer } from './http-server.js';
 
-/** Faults of a service; all off at the start. */
+/** Injected faults; all are off initially. */
 export interface ServiceFaults {
-  /** Added to every call, in milliseconds. */
+  /** Delay added to every request. */
   delayMs: number;
-  /** This many next calls run and then lose their answer. */
+  /** Number of upcoming requests to run while dropping the response. */
   lostAnswers: number;
-  /** Calls are answered 503 and do not run. */
+  /** Answers requests with status 503 without running them. */
   isRefusing: boolean;
-  /** Answers that it is leaving, without running the call. */
+  /** Drains: rejects requests without running them. */
   isLeaving: boolean;
 }
 
-/** A running service. */
 export interface ServiceStandin extends RunningServer {
   readonly faults: ServiceFaults;
-  /** How often each call ran, by idempotency key or request id. */
+  /** Number of runs by idempotency key, or by request id if there is none. */
   readonly runs: ReadonlyMap<string, number>;
 }
 
-/** Starts a service on loopback. */
 export async function startServiceStandin(name: string, port = 0): Promise<ServiceStandin> {
   const faults: ServiceFaults = {
     delayMs: 0,
