--- a/src/embedded/embedded-fleet.ts
+++ b/src/embedded/embedded-fleet.ts
@@ -77,7 +77,7 @@
   const deadlineMs = performance.now() + timeoutMs;
   while (!isDone()) {
     if (performance.now() > deadlineMs)
-      throw new Error(`waited ${timeoutMs} ms in vain: ${condition}`);
+      throw new Error(`timed out after ${timeoutMs} ms waiting for: ${condition}`);
     // eslint-disable-next-line no-await-in-loop
     await new Promise<void>((resolve) => {
       setTimeout(resolve, POLL_INTERVAL_MS);
@@ -214,14 +214,14 @@
     });
     if (published.err) throw new Error(formatPublishError(published.val));
     const { version } = published.val;
-    await waitUntil(`version ${version} in force everywhere`, () =>
+    await waitUntil(`version ${version} applied on every router`, () =>
       routers.every((router) => router.getStatus().configurationVersion >= version),
     );
     return { version, ms: performance.now() - startedMs };
   }
 
   await publish(files, 'demo');
-  await waitUntil('every router sees every other', () =>
+  await waitUntil('every router lists all routers as members', () =>
     routers.every((router) => router.getStatus().members.length === routers.length),
   );
 
