--- a/src/standin/platform-faults.ts
+++ b/src/standin/platform-faults.ts
@@ -25,7 +25,7 @@
 
 export type PlatformFaults = Required<z.infer<typeof platformFaultsSchema>>;
 
-export const NO_FAULTS: PlatformFaults = {
+export const DEFAULT_FAULTS: PlatformFaults = {
   isDown: false,
   isSilent: false,
   delayMs: 0,
--- a/src/standin/platform.ts
+++ b/src/standin/platform.ts
@@ -8,7 +8,7 @@
 import type { Request, Response } from 'express';
 import type { ListedInstance } from '../storage/instance-list-client.js';
 import { startHttpServer } from './http-server.js';
-import { NO_FAULTS, createRateLimiter, platformFaultsSchema } from './platform-faults.js';
+import { DEFAULT_FAULTS, createRateLimiter, platformFaultsSchema } from './platform-faults.js';
 import type { PlatformFaults } from './platform-faults.js';
 import type { RunningServer } from './http-server.js';
 
@@ -71,7 +71,7 @@
   };
   const token = options.token ?? STANDIN_CREDENTIALS.token;
   const listLagMs = options.listLagMs ?? 2000;
-  let faults: PlatformFaults = { ...NO_FAULTS };
+  let faults: PlatformFaults = { ...DEFAULT_FAULTS };
   const counts: PlatformCounts = { reads: 0, writes: 0, conflicts: 0, throttled: 0 };
   const tables = new Map<string, Map<string, ItemVersion[]>>();
   const objects = new Map<string, string>();
