--- a/src/test/describe.ts
+++ b/src/test/describe.ts
@@ -2,21 +2,21 @@
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 
-type Body = (t: ExecutionContext) => void | Promise<void>;
+type TestFunction = (t: ExecutionContext) => void | Promise<void>;
 
 /** What a block's function is given. */
 export interface Block {
   readonly describe: (title: string, define: (block: Block) => void) => void;
   /** A test that may run beside others of its file. */
-  readonly it: (title: string, body: Body) => void;
+  readonly it: (title: string, body: TestFunction) => void;
   /** A test that runs alone within its file. */
-  readonly itSerial: (title: string, body: Body) => void;
+  readonly itSerial: (title: string, body: TestFunction) => void;
 }
 
-const SEPARATOR = ' › ';
+const TITLE_SEPARATOR = ' › ';
 
 function createBlock(path: readonly string[]): Block {
-  const buildTitle = (title: string): string => [...path, title].join(SEPARATOR);
+  const buildTitle = (title: string): string => [...path, title].join(TITLE_SEPARATOR);
   return {
     describe: (title, define) => define(createBlock([...path, title])),
     it: (title, body) => test(buildTitle(title), body),
--- a/src/test/failures.test.ts
+++ b/src/test/failures.test.ts
@@ -7,15 +7,15 @@
 import { createCompletionClient } from '../load/completion-client.js';
 import { buildAnswer } from '../standin/answer.js';
 import { describe } from './describe.js';
-import { fetchStatus, sendCall, setFaults, waitFor } from './http.js';
-import type { JsonAnswer } from './http.js';
+import { fetchStatus, sendRequest, setFaults, waitFor } from './http.js';
+import type { HttpResponse } from './http.js';
 import { startProcessFleet, TEST_KEY, TEST_MODEL } from './process-fleet.js';
 import type { ProcessFleet, ProcessFleetOptions } from './process-fleet.js';
 import { startRouterProcess, stopProcesses } from './processes.js';
 
-const ANSWER_MAX = 400;
+const RESPONSE_TOKENS_MAX = 400;
 const LONG_PROMPT = 'a long history [length:60]';
-const ACT_AFTER_TOKENS = 10;
+const FAULT_AFTER_TOKENS = 10;
 const fleets: ProcessFleet[] = [];
 const client = createCompletionClient();
 
@@ -34,17 +34,17 @@
   return fleet;
 }
 
-function getCallers(fleet: ProcessFleet, index: number): string {
-  return fleet.routers[index]?.listening.callers ?? '';
+function getCallerUrl(fleet: ProcessFleet, index: number): string {
+  return fleet.routers[index]?.addresses.callers ?? '';
 }
 
-function getOperators(fleet: ProcessFleet, index: number): string {
-  return fleet.routers[index]?.listening.operators ?? '';
+function getOperatorUrl(fleet: ProcessFleet, index: number): string {
+  return fleet.routers[index]?.addresses.operators ?? '';
 }
 
-function sendQuestion(fleet: ProcessFleet, index: number, prompt: string, onText?: () => void) {
+function sendCompletion(fleet: ProcessFleet, index: number, prompt: string, onText?: () => void) {
   return client.send({
-    url: getCallers(fleet, index),
+    url: getCallerUrl(fleet, index),
     key: TEST_KEY,
     model: TEST_MODEL,
     prompt,
@@ -53,7 +53,7 @@
 }
 
 function sendOrder(fleet: ProcessFleet, index: number, key: string, body = '{"crates":3}') {
-  return sendCall(`${getCallers(fleet, index)}/services/stores/orders`, {
+  return sendRequest(`${getCallerUrl(fleet, index)}/services/stores/orders`, {
     headers: {
       authorization: `Bearer ${TEST_KEY}`,
       'content-type': 'application/json',
@@ -65,21 +65,24 @@
 }
 
 async function setEngineFaults(fleet: ProcessFleet, faults: object): Promise<void> {
-  await Promise.all(fleet.engines.map((engine) => setFaults(engine.listening.url ?? '', faults)));
+  await Promise.all(fleet.engines.map((engine) => setFaults(engine.addresses.url ?? '', faults)));
 }
 
-function getOutcome(answer: JsonAnswer): string | undefined {
-  return (answer.json as { error?: { outcome: string } }).error?.outcome;
+function getOutcome(response: HttpResponse): string | undefined {
+  return (response.json as { error?: { outcome: string } }).error?.outcome;
 }
 
 async function countRuns(fleet: ProcessFleet, key: string): Promise<number> {
-  const answer = await sendCall(`${fleet.service.listening.url}/runs`);
-  return (answer.json as Record<string, number>)[key] ?? 0;
+  const response = await sendRequest(`${fleet.service.addresses.url}/runs`);
+  return (response.json as Record<string, number>)[key] ?? 0;
 }
 
-async function countBreaches(fleet: ProcessFleet, indexes: readonly number[]): Promise<number> {
+async function countInvariantBreaches(
+  fleet: ProcessFleet,
+  indexes: readonly number[],
+): Promise<number> {
   const statuses = await Promise.all(
-    indexes.map((index) => fetchStatus(getOperators(fleet, index))),
+    indexes.map((index) => fetchStatus(getOperatorUrl(fleet, index))),
   );
   return statuses.reduce((sum, status) => sum + status.invariantBreaches, 0);
 }
@@ -87,7 +90,7 @@
 /** The engine that a running answer comes from: the one that has started more than it completed. */
 async function findBusyEngine(fleet: ProcessFleet): Promise<number> {
   const counts = await Promise.all(
-    fleet.engines.map((engine) => sendCall(`${engine.listening.url}/counts`)),
+    fleet.engines.map((engine) => sendRequest(`${engine.addresses.url}/counts`)),
   );
   return counts.findIndex(({ json }) => {
     const { started, completed, cancelled } = json as {
@@ -100,27 +103,27 @@
 }
 
 /** Asks for a long answer and does something after some tokens of it. */
-function sendAndDo(fleet: ProcessFleet, act: () => void) {
+function sendWithFault(fleet: ProcessFleet, injectFault: () => void) {
   let tokens = 0;
-  return sendQuestion(fleet, 0, LONG_PROMPT, () => {
+  return sendCompletion(fleet, 0, LONG_PROMPT, () => {
     tokens += 1;
-    if (tokens === ACT_AFTER_TOKENS) act();
+    if (tokens === FAULT_AFTER_TOKENS) injectFault();
   });
 }
 
 /** Asks for a long answer and, after some tokens of it, sends a signal to the engine it comes from. */
-function sendAndSignal(fleet: ProcessFleet, signal: NodeJS.Signals) {
-  return sendAndDo(fleet, () => {
+function sendWithEngineSignal(fleet: ProcessFleet, signal: NodeJS.Signals) {
+  return sendWithFault(fleet, () => {
     findBusyEngine(fleet)
-      .then((index) => fleet.engines[index]?.send(signal))
+      .then((index) => fleet.engines[index]?.sendSignal(signal))
       .catch(() => undefined);
   });
 }
 
 /** Enough short answers for the routers to know the engines' pace. */
-async function sendWarmUp(fleet: ProcessFleet): Promise<void> {
+async function sendWarmUpRequests(fleet: ProcessFleet): Promise<void> {
   await Promise.all(
-    Array.from({ length: 12 }, (_, index) => sendQuestion(fleet, 0, `warm ${index} [length:4]`)),
+    Array.from({ length: 12 }, (_, index) => sendCompletion(fleet, 0, `warm ${index} [length:4]`)),
   );
 }
 
@@ -129,35 +132,35 @@
     // A clerk's answer stops half way. The engine's process dies; its connections break; the answer
     // goes on at the other engine from the next token.
     const fleet = await startFleet({ stepMs: 20 });
-    const result = await sendAndSignal(fleet, 'SIGKILL');
+    const result = await sendWithEngineSignal(fleet, 'SIGKILL');
     t.true(result.isWhole);
-    t.is(result.text, buildAnswer(LONG_PROMPT, ANSWER_MAX));
-    t.is(await countBreaches(fleet, [0, 1]), 0);
+    t.is(result.text, buildAnswer(LONG_PROMPT, RESPONSE_TOKENS_MAX));
+    t.is(await countInvariantBreaches(fleet, [0, 1]), 0);
   });
 
   it('an engine frozen in mid-answer', async (t) => {
     // A clerk's answer stops half way and no error comes. The engine's process is stopped: its
     // connections stay open and carry nothing more. The learned pace tells silence from slowness.
     const fleet = await startFleet({ stepMs: 20 });
-    await sendWarmUp(fleet);
-    const result = await sendAndSignal(fleet, 'SIGSTOP');
+    await sendWarmUpRequests(fleet);
+    const result = await sendWithEngineSignal(fleet, 'SIGSTOP');
     t.true(result.isWhole);
-    t.is(result.text, buildAnswer(LONG_PROMPT, ANSWER_MAX));
+    t.is(result.text, buildAnswer(LONG_PROMPT, RESPONSE_TOKENS_MAX));
   });
 
   it('connections that something in between lost track of', async (t) => {
     // A clerk's answer stops half way, and the next questions hang too. Every connection that was
     // open carries nothing any more, idle ones included, and none is closed; new ones work.
     const fleet = await startFleet({ stepMs: 20, hasRelays: true });
-    await sendWarmUp(fleet);
-    const result = await sendAndDo(fleet, () => {
+    await sendWarmUpRequests(fleet);
+    const result = await sendWithFault(fleet, () => {
       for (const relay of fleet.relays) relay.silenceOpen();
     });
     t.true(result.isWhole, result.errorType);
-    t.is(result.text, buildAnswer(LONG_PROMPT, ANSWER_MAX));
+    t.is(result.text, buildAnswer(LONG_PROMPT, RESPONSE_TOKENS_MAX));
     const prompt = 'after that [length:5]';
-    const next = await sendQuestion(fleet, 1, prompt);
-    t.is(next.text, buildAnswer(prompt, ANSWER_MAX));
+    const next = await sendCompletion(fleet, 1, prompt);
+    t.is(next.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
   });
 
   it('frames that are crossed, repeated and reordered', async (t) => {
@@ -168,11 +171,11 @@
     await setEngineFaults(fleet, faults);
     const prompts = Array.from({ length: 8 }, (_, index) => `mixed ${index} [length:20]`);
     const results = await Promise.all(
-      prompts.map((prompt, index) => sendQuestion(fleet, index % 2, prompt)),
+      prompts.map((prompt, index) => sendCompletion(fleet, index % 2, prompt)),
     );
     results.forEach((result, index) => {
       t.true(result.isWhole);
-      t.is(result.text, buildAnswer(prompts[index] ?? '', ANSWER_MAX));
+      t.is(result.text, buildAnswer(prompts[index] ?? '', RESPONSE_TOKENS_MAX));
     });
   });
 
@@ -182,16 +185,16 @@
     const fleet = await startFleet();
     await setEngineFaults(fleet, { truncatedAnswers: 1 });
     const prompt = 'a consignment note [length:30]';
-    const result = await sendQuestion(fleet, 0, prompt);
+    const result = await sendCompletion(fleet, 0, prompt);
     t.true(result.isWhole);
-    t.is(result.text, buildAnswer(prompt, ANSWER_MAX));
+    t.is(result.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
   });
 
   it('an order whose answer from the service is lost', async (t) => {
     // Crates arrive twice. The service takes the order and its answer is lost; the router must not
     // send it again, nor call it not run, nor let the second try through.
     const fleet = await startFleet();
-    await setFaults(fleet.service.listening.url ?? '', { lostAnswers: 1 });
+    await setFaults(fleet.service.addresses.url ?? '', { lostAnswers: 1 });
     const key = randomUUID();
     const first = await sendOrder(fleet, 0, key);
     t.is(getOutcome(first), 'may_have_run');
@@ -204,13 +207,13 @@
     // Crates arrive twice. A caller without an answer sends the order again through another entry
     // while the first is still under way.
     const fleet = await startFleet();
-    await setFaults(fleet.service.listening.url ?? '', { delayMs: 300 });
+    await setFaults(fleet.service.addresses.url ?? '', { delayMs: 300 });
     const key = randomUUID();
-    const answers = await Promise.all([0, 1, 0, 1].map((index) => sendOrder(fleet, index, key)));
+    const responses = await Promise.all([0, 1, 0, 1].map((index) => sendOrder(fleet, index, key)));
     t.is(await countRuns(fleet, key), 1);
-    t.is(answers.filter(({ status }) => status === 200).length, 1);
-    for (const answer of answers.filter(({ status }) => status !== 200)) {
-      t.is(getOutcome(answer), 'may_have_run');
+    t.is(responses.filter(({ status }) => status === 200).length, 1);
+    for (const response of responses.filter(({ status }) => status !== 200)) {
+      t.is(getOutcome(response), 'may_have_run');
     }
     const other = await sendOrder(fleet, 0, key, '{"crates":4}');
     t.is(other.status, 422);
@@ -221,7 +224,7 @@
     // Nothing works because the table is down. Orders that may run once only are refused as not run;
     // everything else goes on with the configuration in force.
     const fleet = await startFleet();
-    await setFaults(fleet.platform.listening.url ?? '', { isDown: true });
+    await setFaults(fleet.platform.addresses.url ?? '', { isDown: true });
     const key = randomUUID();
     const refused = await sendOrder(fleet, 0, key);
     t.is(refused.status, 503);
@@ -229,8 +232,8 @@
     t.truthy(refused.headers['retry-after']);
     t.is(await countRuns(fleet, key), 0);
     const prompt = 'still served [length:8]';
-    t.is((await sendQuestion(fleet, 1, prompt)).text, buildAnswer(prompt, ANSWER_MAX));
-    await setFaults(fleet.platform.listening.url ?? '', { isDown: false });
+    t.is((await sendCompletion(fleet, 1, prompt)).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    await setFaults(fleet.platform.addresses.url ?? '', { isDown: false });
     t.is((await sendOrder(fleet, 0, key)).status, 200);
     t.is(await countRuns(fleet, key), 1);
   });
@@ -239,7 +242,7 @@
     // An order is refused and the key is burnt. The claim was written; only the answer was lost. The
     // entry reads it back, knows its own attempt, and goes on.
     const fleet = await startFleet();
-    await setFaults(fleet.platform.listening.url ?? '', { lostAnswers: 1 });
+    await setFaults(fleet.platform.addresses.url ?? '', { lostAnswers: 1 });
     const key = randomUUID();
     t.is((await sendOrder(fleet, 0, key)).status, 200);
     t.is(await countRuns(fleet, key), 1);
@@ -250,7 +253,7 @@
     // said not run; the next try, at the other entry, finds it and asks whether it was sent.
     const fleet = await startFleet();
     const faults = { lateWrites: 1, lateWriteMs: 2500 };
-    await setFaults(fleet.platform.listening.url ?? '', faults);
+    await setFaults(fleet.platform.addresses.url ?? '', faults);
     const key = randomUUID();
     const first = await sendOrder(fleet, 0, key);
     t.is(getOutcome(first), 'not_run');
@@ -265,12 +268,12 @@
     // Crates arrive twice. The entry dies after sending the order; the next entry finds a claim and
     // nobody to ask, and must not take silence for proof.
     const fleet = await startFleet();
-    await setFaults(fleet.service.listening.url ?? '', { delayMs: 1000 });
+    await setFaults(fleet.service.addresses.url ?? '', { delayMs: 1000 });
     const key = randomUUID();
-    const lost = sendOrder(fleet, 0, key).catch(() => undefined);
+    const interrupted = sendOrder(fleet, 0, key).catch(() => undefined);
     await waitFor('the order runs', async () => (await countRuns(fleet, key)) === 1);
-    fleet.routers[0]?.send('SIGKILL');
-    await lost;
+    fleet.routers[0]?.sendSignal('SIGKILL');
+    await interrupted;
     const second = await sendOrder(fleet, 1, key);
     t.is(getOutcome(second), 'may_have_run');
     t.is(await countRuns(fleet, key), 1);
@@ -281,24 +284,24 @@
     // connections stay open. Others stop waiting for it and hand out slots themselves.
     const fleet = await startFleet({ routers: 3 });
     const statuses = await Promise.all(
-      [0, 1, 2].map((index) => fetchStatus(getOperators(fleet, index))),
+      [0, 1, 2].map((index) => fetchStatus(getOperatorUrl(fleet, index))),
     );
-    const owner = statuses.findIndex((status) =>
+    const ownerIndex = statuses.findIndex((status) =>
       status.shards.some((shard) => shard.shard.startsWith('language-model')),
     );
-    fleet.routers[owner]?.send('SIGSTOP');
-    const others = [0, 1, 2].filter((index) => index !== owner);
+    fleet.routers[ownerIndex]?.sendSignal('SIGSTOP');
+    const others = [0, 1, 2].filter((index) => index !== ownerIndex);
     const prompts = others.map((index) => `through ${index} [length:10]`);
     const results = await Promise.all(
-      others.map((index, place) => sendQuestion(fleet, index, prompts[place] ?? '')),
+      others.map((index, position) => sendCompletion(fleet, index, prompts[position] ?? '')),
     );
-    fleet.routers[owner]?.send('SIGCONT');
-    results.forEach((result, place) => {
+    fleet.routers[ownerIndex]?.sendSignal('SIGCONT');
+    results.forEach((result, position) => {
       t.true(result.isWhole, result.errorType);
-      t.is(result.text, buildAnswer(prompts[place] ?? '', ANSWER_MAX));
+      t.is(result.text, buildAnswer(prompts[position] ?? '', RESPONSE_TOKENS_MAX));
     });
     await waitFor('the frozen entry is back', async () => {
-      const status = await fetchStatus(getOperators(fleet, owner));
+      const status = await fetchStatus(getOperatorUrl(fleet, ownerIndex));
       return status.members.every((member) => member.state === 'alive');
     });
   });
@@ -308,40 +311,40 @@
     // is finished, what comes from the balancer meanwhile is still served, and only then it ends.
     const fleet = await startFleet({ stepMs: 30 });
     const prompt = 'a long draft [length:100]';
-    const running = sendQuestion(fleet, 0, prompt);
-    await setFaults(fleet.service.listening.url ?? '', { delayMs: 1500 });
+    const running = sendCompletion(fleet, 0, prompt);
+    await setFaults(fleet.service.addresses.url ?? '', { delayMs: 1500 });
     const order = sendOrder(fleet, 0, randomUUID());
     await new Promise((resolve) => {
       setTimeout(resolve, 300);
     });
-    fleet.routers[0]?.send('SIGTERM');
+    fleet.routers[0]?.sendSignal('SIGTERM');
     await waitFor('readiness is off', async () => {
-      const answer = await sendCall(`${getOperators(fleet, 0)}/readyz`);
-      return answer.status === 503;
+      const response = await sendRequest(`${getOperatorUrl(fleet, 0)}/readyz`);
+      return response.status === 503;
     });
-    fleet.routers[0]?.send('SIGTERM');
+    fleet.routers[0]?.sendSignal('SIGTERM');
     await waitFor('the other entry knows', async () => {
-      const status = await fetchStatus(getOperators(fleet, 1));
+      const status = await fetchStatus(getOperatorUrl(fleet, 1));
       return status.members.some(({ name, state }) => name === 'entry-1' && state === 'leaving');
     });
-    const late = await sendQuestion(fleet, 0, 'a late comer [length:5]');
-    t.true(late.isWhole);
-    t.is((await running).text, buildAnswer(prompt, ANSWER_MAX));
+    const lateResult = await sendCompletion(fleet, 0, 'a late comer [length:5]');
+    t.true(lateResult.isWhole);
+    t.is((await running).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
     t.is((await order).status, 200);
-    t.is(await fleet.routers[0]?.wait(), 0);
+    t.is(await fleet.routers[0]?.waitForExit(), 0);
   });
 
   it('SIGTERM while the platform is down', async (t) => {
     const fleet = await startFleet({ stepMs: 30 });
-    await setFaults(fleet.platform.listening.url ?? '', { isSilent: true });
+    await setFaults(fleet.platform.addresses.url ?? '', { isSilent: true });
     const prompt = 'a long draft [length:60]';
-    const running = sendQuestion(fleet, 0, prompt);
+    const running = sendCompletion(fleet, 0, prompt);
     await new Promise((resolve) => {
       setTimeout(resolve, 200);
     });
-    fleet.routers[0]?.send('SIGTERM');
-    t.is((await running).text, buildAnswer(prompt, ANSWER_MAX));
-    t.is(await fleet.routers[0]?.wait(), 0);
+    fleet.routers[0]?.sendSignal('SIGTERM');
+    t.is((await running).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is(await fleet.routers[0]?.waitForExit(), 0);
   });
 
   it('an engine that leaves', async (t) => {
@@ -349,57 +352,57 @@
     // within three seconds, whatever the platform's list says. What runs there is not cut off.
     const fleet = await startFleet({ stepMs: 20 });
     const prompt = 'already running [length:80]';
-    const running = sendQuestion(fleet, 0, prompt);
+    const running = sendCompletion(fleet, 0, prompt);
     await waitFor('it runs', async () => (await findBusyEngine(fleet)) >= 0);
-    const leaving = await findBusyEngine(fleet);
-    const engineUrl = fleet.engines[leaving]?.listening.url ?? '';
+    const leavingIndex = await findBusyEngine(fleet);
+    const engineUrl = fleet.engines[leavingIndex]?.addresses.url ?? '';
     await setFaults(engineUrl, { isLeaving: true });
     await waitFor('every entry knows', async () => {
       const statuses = await Promise.all(
-        [0, 1].map((index) => fetchStatus(getOperators(fleet, index))),
+        [0, 1].map((index) => fetchStatus(getOperatorUrl(fleet, index))),
       );
       return statuses.every((status) => status.leavingEndpoints.length === 1);
     });
-    const before = await sendCall(`${engineUrl}/counts`);
-    const later = await Promise.all(
-      [0, 1, 0, 1, 0, 1].map((index) => sendQuestion(fleet, index, `later ${index} [length:3]`)),
+    const countsBefore = await sendRequest(`${engineUrl}/counts`);
+    const laterResults = await Promise.all(
+      [0, 1, 0, 1, 0, 1].map((index) => sendCompletion(fleet, index, `later ${index} [length:3]`)),
     );
-    const after = await sendCall(`${engineUrl}/counts`);
-    t.true(later.every((result) => result.isWhole));
-    const readArrived = ({ json }: JsonAnswer) => {
+    const countsAfter = await sendRequest(`${engineUrl}/counts`);
+    t.true(laterResults.every((result) => result.isWhole));
+    const readReceivedCounts = ({ json }: HttpResponse) => {
       const { started, turnedAway } = json as { started: object; turnedAway: number };
       return { started, turnedAway };
     };
-    t.deepEqual(readArrived(after), readArrived(before));
-    t.is((await running).text, buildAnswer(prompt, ANSWER_MAX));
+    t.deepEqual(readReceivedCounts(countsAfter), readReceivedCounts(countsBefore));
+    t.is((await running).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
   });
 
   it('a change while the platform goes down, and an instance that starts without it', async (t) => {
     // A new instance comes up with no configuration, or with an old one. The platform is down; the
     // peers have the latest version, and the newcomer must take that.
     const fleet = await startFleet();
-    const path = join(fleet.folder, '10-classes.yaml');
+    const path = join(fleet.configurationFolder, '10-classes.yaml');
     const classes = await readFile(path, 'utf8');
     await writeFile(path, classes.replace('deadlineMs: 60000', 'deadlineMs: 50000'));
     t.is((await fleet.publish()).code, 0);
     await waitFor('version 2 is in force', async () => {
       const statuses = await Promise.all(
-        [0, 1].map((index) => fetchStatus(getOperators(fleet, index))),
+        [0, 1].map((index) => fetchStatus(getOperatorUrl(fleet, index))),
       );
       return statuses.every((status) => status.configurationVersion === 2);
     });
-    await setFaults(fleet.platform.listening.url ?? '', { isDown: true });
-    const newcomer = await startRouterProcess({
+    await setFaults(fleet.platform.addresses.url ?? '', { isDown: true });
+    const newRouter = await startRouterProcess({
       name: 'entry-9',
       dataCentre: 'peliyagoda',
-      platformUrl: fleet.platform.listening.url ?? '',
-      seeds: [fleet.routers[0]?.listening.peers ?? ''],
+      platformUrl: fleet.platform.addresses.url ?? '',
+      seeds: [fleet.routers[0]?.addresses.peers ?? ''],
     });
     await waitFor('the newcomer is ready', async () => {
-      const status = await fetchStatus(newcomer.listening.operators ?? '');
+      const status = await fetchStatus(newRouter.addresses.operators ?? '');
       return status.stage === 'ready';
     });
-    t.is((await fetchStatus(newcomer.listening.operators ?? '')).configurationVersion, 2);
+    t.is((await fetchStatus(newRouter.addresses.operators ?? '')).configurationVersion, 2);
   });
 
   it('a flood of bad peers and slow readers', async (t) => {
@@ -407,8 +410,8 @@
     // secret send messages, bodies are garbage; others' answers stay whole.
     const fleet = await startFleet();
     const controllers = Array.from({ length: 20 }, () => new AbortController());
-    const slow = controllers.map((controller) =>
-      request(`${getCallers(fleet, 0)}/v1/chat/completions`, {
+    const unreadStreams = controllers.map((controller) =>
+      request(`${getCallerUrl(fleet, 0)}/v1/chat/completions`, {
         method: 'POST',
         headers: { authorization: `Bearer ${TEST_KEY}`, 'content-type': 'application/json' },
         body: JSON.stringify({
@@ -419,25 +422,25 @@
         signal: controller.signal,
       }).catch(() => undefined),
     );
-    const [host = '', port = ''] = (fleet.routers[0]?.listening.peers ?? '').split(':');
-    const garbage = await sendCall(
+    const [host = '', port = ''] = (fleet.routers[0]?.addresses.peers ?? '').split(':');
+    const forgedMessage = await sendRequest(
       `http://${host}:${port}/hyssoptally.peer.v1.PeerService/Deliver`,
       {
         headers: { 'content-type': 'application/json' },
         body: '{"from":"nobody"}',
       },
     ).catch(() => undefined);
-    t.not(garbage?.status, 200);
+    t.not(forgedMessage?.status, 200);
     const prompt = 'a good caller [length:10]';
     const result = await client.send({
-      url: getCallers(fleet, 0),
+      url: getCallerUrl(fleet, 0),
       key: TEST_KEY,
       model: TEST_MODEL,
       prompt,
       className: 'counter',
     });
-    t.is(result.text, buildAnswer(prompt, ANSWER_MAX));
+    t.is(result.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
     for (const controller of controllers) controller.abort();
-    await Promise.all(slow);
+    await Promise.all(unreadStreams);
   });
 });
--- a/src/test/http.ts
+++ b/src/test/http.ts
@@ -4,7 +4,7 @@
 import { TEST_SECRET } from './processes.js';
 
 /** An answer of any status, parsed when it is JSON. */
-export interface JsonAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
@@ -12,7 +12,7 @@
 }
 
 /** Options of a call. */
-export interface CallOptions {
+export interface RequestOptions {
   readonly method?: 'GET' | 'POST' | 'PUT' | 'DELETE';
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
@@ -27,7 +27,10 @@
 }
 
 /** Sends one call and reads the answer to its end. */
-export async function sendCall(url: string, options: CallOptions = {}): Promise<JsonAnswer> {
+export async function sendRequest(
+  url: string,
+  options: RequestOptions = {},
+): Promise<HttpResponse> {
   const response = await request(url, {
     method: options.method ?? (options.body === undefined ? 'GET' : 'POST'),
     headers: { ...options.headers },
@@ -39,7 +42,7 @@
 
 /** Switches faults of a stand-in process on or off. */
 export async function setFaults(url: string, faults: object): Promise<void> {
-  await sendCall(`${url}/faults`, {
+  await sendRequest(`${url}/faults`, {
     headers: { 'content-type': 'application/json' },
     body: JSON.stringify(faults),
   });
@@ -47,25 +50,25 @@
 
 /** A router's status. */
 export async function fetchStatus(operatorsUrl: string): Promise<RouterStatus> {
-  const answer = await sendCall(`${operatorsUrl}/status`, {
+  const response = await sendRequest(`${operatorsUrl}/status`, {
     headers: { authorization: `Bearer ${TEST_SECRET}` },
   });
-  return answer.json as RouterStatus;
+  return response.json as RouterStatus;
 }
 
 /** Asks again until a condition holds; throws naming it when it never does. */
 export async function waitFor(
-  what: string,
-  isDone: () => Promise<boolean> | boolean,
-  tries = 400,
+  condition: string,
+  isMet: () => Promise<boolean> | boolean,
+  attemptsMax = 400,
 ): Promise<void> {
-  for (let attempt = 0; attempt < tries; attempt += 1) {
+  for (let attempt = 0; attempt < attemptsMax; attempt += 1) {
     // eslint-disable-next-line no-await-in-loop
-    if (await isDone()) return;
+    if (await isMet()) return;
     // eslint-disable-next-line no-await-in-loop
     await new Promise<void>((resolve) => {
       setTimeout(resolve, 50);
     });
   }
-  throw new Error(`never came about: ${what}`);
+  throw new Error(`never came about: ${condition}`);
 }
--- a/src/test/process-fleet.ts
+++ b/src/test/process-fleet.ts
@@ -29,7 +29,7 @@
   readonly routers: readonly TestProcess[];
   /** Relays before the engines, where the fleet was asked for them. */
   readonly relays: readonly Relay[];
-  readonly folder: string;
+  readonly configurationFolder: string;
   /** Publishes the folder with the operators' tool. */
   publish(): Promise<{ code: number; out: string; err: string }>;
   stop(): Promise<void>;
@@ -58,7 +58,7 @@
   return TEST_DATA_CENTRES[index % TEST_DATA_CENTRES.length] as string;
 }
 
-async function writeFolder(
+async function writeConfiguration(
   folder: string,
   engineUrls: readonly string[],
   service: TestProcess,
@@ -74,7 +74,7 @@
     stores: {
       kind: 'service',
       endpoints: {
-        'service-1': { url: service.listening.url, dataCentre: getDataCentre(0), slots: 8 },
+        'service-1': { url: service.addresses.url, dataCentre: getDataCentre(0), slots: 8 },
       },
     },
   };
@@ -97,7 +97,7 @@
 export async function startProcessFleet(options: ProcessFleetOptions = {}): Promise<ProcessFleet> {
   const folder = await mkdtemp(join(tmpdir(), 'hyssoptally-'));
   const platform = await startProcess('standin', ['platform', '--list-lag-ms', '200']);
-  const platformUrl = platform.listening.url ?? '';
+  const platformUrl = platform.addresses.url ?? '';
   const engines = await Promise.all(
     Array.from({ length: options.engines ?? 2 }, (_, index) =>
       startProcess('standin', [
@@ -108,12 +108,16 @@
     ),
   );
   const service = await startProcess('standin', ['service', '--name', 'service-1']);
-  const urls = engines.map((engine) => engine.listening.url ?? '');
+  const urls = engines.map((engine) => engine.addresses.url ?? '');
   const relays =
     options.hasRelays === true
       ? await Promise.all(urls.map((url) => startRelay(Number(new URL(url).port))))
       : [];
-  await writeFolder(folder, relays.length > 0 ? relays.map(({ url }) => url) : urls, service);
+  await writeConfiguration(
+    folder,
+    relays.length > 0 ? relays.map(({ url }) => url) : urls,
+    service,
+  );
   const publish = () =>
     runCtl(['apply', folder, '--who', 'tests', ...listPlatformFlags(platformUrl)]);
   const published = await publish();
@@ -130,7 +134,7 @@
   );
   await waitFor('every router is ready and sees every other', async () => {
     const statuses = await Promise.all(
-      routers.map((router) => fetchStatus(router.listening.operators ?? '')),
+      routers.map((router) => fetchStatus(router.addresses.operators ?? '')),
     );
     return statuses.every(
       (status) => status.stage === 'ready' && status.members.length === routers.length,
@@ -142,7 +146,7 @@
     service,
     routers,
     relays,
-    folder,
+    configurationFolder: folder,
     publish,
     async stop() {
       stopProcesses();
--- a/src/test/processes.ts
+++ b/src/test/processes.ts
@@ -6,7 +6,7 @@
 import { STANDIN_CREDENTIALS } from '../standin/platform.js';
 
 /** What a binary prints once it listens. */
-export interface Listening {
+export interface ListenAddresses {
   readonly url?: string;
   readonly callers?: string;
   readonly operators?: string;
@@ -15,12 +15,12 @@
 
 /** A process of the project's. */
 export interface TestProcess {
-  readonly listening: Listening;
+  readonly addresses: ListenAddresses;
   readonly child: ChildProcess;
   /** Sends a signal; a dead process is no error. */
-  send(signal: NodeJS.Signals): void;
+  sendSignal(signal: NodeJS.Signals): void;
   /** Waits for the end; the exit code, or undefined after a signal. */
-  wait(): Promise<number | undefined>;
+  waitForExit(): Promise<number | undefined>;
 }
 
 /** Settings all routers of a test share. */
@@ -30,36 +30,36 @@
   readonly platformUrl: string;
   readonly seeds?: readonly string[];
   /** HOST:PORT to listen on for peers. */
-  readonly peers?: string;
+  readonly peerListenAddress?: string;
   readonly flags?: readonly string[];
 }
 
 export const TEST_SECRET = 'secret-of-the-tests';
 
-const started = new Set<ChildProcess>();
+const runningProcesses = new Set<ChildProcess>();
 
 /** Starts a binary and waits until it says that it listens. */
 export async function startProcess(binary: string, args: readonly string[]): Promise<TestProcess> {
   const path = fileURLToPath(new URL(`../cli/${binary}-main.js`, import.meta.url));
   const child = spawn(process.execPath, [path, ...args], { stdio: ['ignore', 'pipe', 'inherit'] });
-  started.add(child);
-  const ended = new Promise<number | undefined>((resolve) => {
+  runningProcesses.add(child);
+  const exited = new Promise<number | undefined>((resolve) => {
     child.once('exit', (code) => {
-      started.delete(child);
+      runningProcesses.delete(child);
       resolve(code ?? undefined);
     });
   });
-  const listening = await new Promise<Listening>((resolve, reject) => {
+  const addresses = await new Promise<ListenAddresses>((resolve, reject) => {
     createInterface({ input: child.stdout }).once('line', (line) => resolve(JSON.parse(line)));
     child.once('exit', (code) => reject(new Error(`${binary} ended early with ${code}`)));
   });
   return {
-    listening,
+    addresses,
     child,
-    send: (signal) => {
+    sendSignal: (signal) => {
       child.kill(signal);
     },
-    wait: () => ended,
+    waitForExit: () => exited,
   };
 }
 
@@ -74,7 +74,7 @@
     ...['--platform-secret-access-key', STANDIN_CREDENTIALS.secretAccessKey],
     ...['--platform-token', STANDIN_CREDENTIALS.token],
     ...['--peer-secret', TEST_SECRET, '--operator-secret', TEST_SECRET, '--log-level', 'error'],
-    ...(options.peers === undefined ? [] : ['--peers', options.peers]),
+    ...(options.peerListenAddress === undefined ? [] : ['--peers', options.peerListenAddress]),
     ...seeds.flatMap((seed) => ['--seeds', seed]),
     ...flags,
   ]);
@@ -90,7 +90,7 @@
     stdio: ['ignore', 'pipe', 'pipe'],
     env: { ...process.env, ...env },
   });
-  started.add(child);
+  runningProcesses.add(child);
   let out = '';
   let err = '';
   child.stdout.on('data', (chunk: Buffer) => {
@@ -102,7 +102,7 @@
   const code = await new Promise<number>((resolve) => {
     child.once('close', (status) => resolve(status ?? -1));
   });
-  started.delete(child);
+  runningProcesses.delete(child);
   return { code, out, err };
 }
 
@@ -117,5 +117,5 @@
 
 /** Ends everything that still runs. */
 export function stopProcesses(): void {
-  for (const child of started) child.kill('SIGKILL');
+  for (const child of runningProcesses) child.kill('SIGKILL');
 }
--- a/src/test/relay.ts
+++ b/src/test/relay.ts
@@ -13,7 +13,7 @@
 /** Starts a relay to a port of this machine. */
 export async function startRelay(targetPort: number): Promise<Relay> {
   const sockets = new Set<Socket>();
-  const silent = new Set<Socket>();
+  const stalledSockets = new Set<Socket>();
 
   function addSocket(socket: Socket): void {
     sockets.add(socket);
@@ -21,19 +21,19 @@
     socket.on('error', () => socket.destroy());
   }
 
-  function sendOn(from: Socket, to: Socket): void {
+  function addForwarding(from: Socket, to: Socket): void {
     from.on('data', (chunk) => {
-      if (!silent.has(from)) to.write(chunk);
+      if (!stalledSockets.has(from)) to.write(chunk);
     });
     from.on('close', () => to.destroy());
   }
 
-  const server = createServer((caller) => {
-    addSocket(caller);
+  const server = createServer((client) => {
+    addSocket(client);
     const target = connect(targetPort, '127.0.0.1');
     addSocket(target);
-    sendOn(caller, target);
-    sendOn(target, caller);
+    addForwarding(client, target);
+    addForwarding(target, client);
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -42,7 +42,7 @@
   return {
     url: `http://127.0.0.1:${port}`,
     silenceOpen() {
-      for (const socket of sockets) silent.add(socket);
+      for (const socket of sockets) stalledSockets.add(socket);
     },
     close: () =>
       new Promise((resolve) => {
