--- a/src/test/describe.ts
+++ b/src/test/describe.ts
@@ -1,15 +1,14 @@
-/** Nested `describe` blocks for ava, which has none of its own: a block prefixes its tests' titles. */
+/** Nested `describe` blocks for AVA, which has none: each prefixes the titles of its tests. */
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 
 type TestFunction = (t: ExecutionContext) => void | Promise<void>;
 
-/** What a block's function is given. */
 export interface Block {
   readonly describe: (title: string, define: (block: Block) => void) => void;
-  /** A test that may run beside others of its file. */
+  /** Defines a test that may run concurrently with others of its file. */
   readonly it: (title: string, body: TestFunction) => void;
-  /** A test that runs alone within its file. */
+  /** Defines a test that runs serially, before the concurrent ones of its file. */
   readonly itSerial: (title: string, body: TestFunction) => void;
 }
 
@@ -24,7 +23,7 @@
   };
 }
 
-/** Opens a block at the top of a file. */
+/** Defines a top-level block. */
 export function describe(title: string, define: (block: Block) => void): void {
   define(createBlock([title]));
 }
--- a/src/test/end-to-end.test.ts
+++ b/src/test/end-to-end.test.ts
@@ -1,4 +1,4 @@
-/** The whole path with separate processes on loopback, from a caller's and an operator's side. */
+/** End-to-end tests of callers' requests and operators' commands against separate processes. */
 import test from 'ava';
 import { createCompletionClient } from '../load/completion-client.js';
 import { buildAnswer } from '../standin/answer.js';
@@ -47,9 +47,9 @@
   messages: [{ role: 'user', content: 'a part [length:6]' }],
 };
 
-describe('the whole path', ({ describe: describeInner }) => {
+describe('end to end', ({ describe: describeInner }) => {
   describeInner('callers', ({ it }) => {
-    it('get whole streamed answers through both data centres', async (t) => {
+    it('receive complete streamed responses through both data centres', async (t) => {
       const prompts = Array.from({ length: 12 }, (_, index) => `question ${index} [length:20]`);
       const results = await Promise.all(
         prompts.map((prompt, index) =>
@@ -62,7 +62,7 @@
       });
     });
 
-    it('get one JSON body without stream', async (t) => {
+    it('receive a single JSON body without `stream`', async (t) => {
       const response = await sendCompletion(COMPLETION_REQUEST);
       t.is(response.status, 200);
       const body = response.json as { choices: { message: { content: string } }[] };
@@ -70,14 +70,14 @@
       t.truthy(response.headers['x-hyssoptally-request-id']);
     });
 
-    it('see the models they may use', async (t) => {
+    it('list the models they may use', async (t) => {
       const response = await sendRequest(`${getCallerUrl(0)}/v1/models`, {
         headers: { authorization: `Bearer ${TEST_KEY}` },
       });
       t.deepEqual(response.json, { object: 'list', data: [{ id: TEST_MODEL, object: 'model' }] });
     });
 
-    it('reach plain services', async (t) => {
+    it('reach services', async (t) => {
       const response = await sendRequest(`${getCallerUrl(1)}/services/stores/parts/7?size=2`, {
         headers: { authorization: `Bearer ${TEST_KEY}` },
       });
@@ -86,7 +86,7 @@
     });
   });
 
-  describeInner('wrong input', ({ it }) => {
+  describeInner('invalid requests', ({ it }) => {
     const cases: readonly [string, unknown, Record<string, string>, number, string][] = [
       [
         'an unknown key',
@@ -95,7 +95,7 @@
         401,
         'unauthenticated',
       ],
-      ['bad JSON', '{"model":', {}, 400, 'bad_request'],
+      ['invalid JSON', '{"model":', {}, 400, 'bad_request'],
       ['no messages', { model: TEST_MODEL }, {}, 400, 'bad_request'],
       ['an unknown model', { ...COMPLETION_REQUEST, model: 'other' }, {}, 404, 'unknown_model'],
       [
@@ -106,14 +106,14 @@
         'forbidden_class',
       ],
       [
-        'a bad deadline',
+        'an invalid deadline',
         COMPLETION_REQUEST,
         { 'x-hyssoptally-deadline-ms': 'soon' },
         400,
         'bad_request',
       ],
       [
-        'a once-only request without a key',
+        'a non-repeatable request without an idempotency key',
         COMPLETION_REQUEST,
         { 'x-hyssoptally-repeatable': 'false' },
         400,
@@ -121,7 +121,7 @@
       ],
       ['an oversized body', 'x'.repeat(5_000_000), {}, 413, 'too_large'],
       [
-        'a header bomb',
+        'oversized headers',
         COMPLETION_REQUEST,
         { 'x-bomb': 'x'.repeat(20_000) },
         431,
@@ -129,7 +129,7 @@
       ],
     ];
     for (const [title, body, headers, status, type] of cases) {
-      it(`${title} is answered ${status} and not run`, async (t) => {
+      it(`${title}: responds ${status} with outcome not_run`, async (t) => {
         const response = await sendCompletion(body, headers);
         t.is(response.status, status);
         const { error } = response.json as ErrorBody;
@@ -141,7 +141,7 @@
   });
 
   describeInner('operators', ({ itSerial }) => {
-    itSerial('see every instance with its version', async (t) => {
+    itSerial('see every instance with its configuration version', async (t) => {
       const status = await fetchStatus(fleet.routers[0]?.addresses.operators ?? '');
       t.deepEqual(status.members.map((member) => member.name).sort(), ['entry-1', 'entry-2']);
       t.is(status.invariantBreaches, 0);
@@ -153,12 +153,12 @@
       t.regex(shown.out, /entry-1 +peliyagoda +alive +1/);
     });
 
-    itSerial('are refused without the secret', async (t) => {
+    itSerial('are rejected without the operator secret', async (t) => {
       const response = await sendRequest(`${fleet.routers[0]?.addresses.operators}/status`);
       t.is(response.status, 401);
     });
 
-    itSerial('read the audit trail and roll back as a new version', async (t) => {
+    itSerial('read the history and roll back without a change', async (t) => {
       const flags = listPlatformFlags(fleet.platform.addresses.url ?? '');
       const rolledBack = await runCtl(['rollback', '1', '--who', 'tests', ...flags]);
       t.is(rolledBack.code, 0);
@@ -169,13 +169,13 @@
       t.is(record?.version, 1);
     });
 
-    itSerial('may set the environment for all commands of the tool at once', async (t) => {
+    itSerial('may set a variable that the command does not use', async (t) => {
       const platform = { HYSSOPTALLY_CTL_PLATFORM_TABLE: 'http://127.0.0.1:1' };
       const result = await runCtl(['validate', fleet.configurationFolder], platform);
       t.is(result.code, 0, result.err);
     });
 
-    itSerial('are told the nearest flag', async (t) => {
+    itSerial('are shown the closest flag for a misspelt one', async (t) => {
       const result = await runCtl(['validate', fleet.configurationFolder, '--jsn']);
       t.is(result.code, 2);
       t.regex(result.err, /did you mean --json/);
--- a/src/test/failures.test.ts
+++ b/src/test/failures.test.ts
@@ -1,4 +1,4 @@
-/** Failures brought about between separate processes: kills, freezes, outages, lost answers, drains. */
+/** Fault injection on separate processes: kills, freezes, outages, lost responses, drains. */
 import { randomUUID } from 'node:crypto';
 import { readFile, writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -87,7 +87,7 @@
   return statuses.reduce((sum, status) => sum + status.invariantBreaches, 0);
 }
 
-/** The engine that a running answer comes from: the one that has started more than it completed. */
+/** The index of the first engine that has a completion in progress, or -1. */
 async function findBusyEngine(fleet: ProcessFleet): Promise<number> {
   const counts = await Promise.all(
     fleet.engines.map((engine) => sendRequest(`${engine.addresses.url}/counts`)),
@@ -102,7 +102,7 @@
   });
 }
 
-/** Asks for a long answer and does something after some tokens of it. */
+/** Sends a long completion and injects a fault after `FAULT_AFTER_TOKENS` tokens. */
 function sendWithFault(fleet: ProcessFleet, injectFault: () => void) {
   let tokens = 0;
   return sendCompletion(fleet, 0, LONG_PROMPT, () => {
@@ -111,7 +111,7 @@
   });
 }
 
-/** Asks for a long answer and, after some tokens of it, sends a signal to the engine it comes from. */
+/** Sends a long completion and signals its engine after `FAULT_AFTER_TOKENS` tokens. */
 function sendWithEngineSignal(fleet: ProcessFleet, signal: NodeJS.Signals) {
   return sendWithFault(fleet, () => {
     findBusyEngine(fleet)
@@ -120,17 +120,16 @@
   });
 }
 
-/** Enough short answers for the routers to know the engines' pace. */
+/** Sends enough short completions for the routers to estimate the engines' token timing. */
 async function sendWarmUpRequests(fleet: ProcessFleet): Promise<void> {
   await Promise.all(
     Array.from({ length: 12 }, (_, index) => sendCompletion(fleet, 0, `warm ${index} [length:4]`)),
   );
 }
 
-describe('failures between processes', ({ itSerial: it }) => {
-  it('an engine killed in mid-answer', async (t) => {
-    // A clerk's answer stops half way. The engine's process dies; its connections break; the answer
-    // goes on at the other engine from the next token.
+describe('process failures', ({ itSerial: it }) => {
+  it('an engine killed during a stream', async (t) => {
+    // Guards against truncated streams: another engine must continue from the next token.
     const fleet = await startFleet({ stepMs: 20 });
     const result = await sendWithEngineSignal(fleet, 'SIGKILL');
     t.true(result.isWhole);
@@ -138,9 +137,9 @@
     t.is(await countInvariantBreaches(fleet, [0, 1]), 0);
   });
 
-  it('an engine frozen in mid-answer', async (t) => {
-    // A clerk's answer stops half way and no error comes. The engine's process is stopped: its
-    // connections stay open and carry nothing more. The learned pace tells silence from slowness.
+  it('an engine frozen during a stream', async (t) => {
+    // Guards against hanging streams: a stopped process keeps its connections open and sends
+    // nothing. The router detects it by the learned token timing.
     const fleet = await startFleet({ stepMs: 20 });
     await sendWarmUpRequests(fleet);
     const result = await sendWithEngineSignal(fleet, 'SIGSTOP');
@@ -148,9 +147,9 @@
     t.is(result.text, buildAnswer(LONG_PROMPT, RESPONSE_TOKENS_MAX));
   });
 
-  it('connections that something in between lost track of', async (t) => {
-    // A clerk's answer stops half way, and the next questions hang too. Every connection that was
-    // open carries nothing any more, idle ones included, and none is closed; new ones work.
+  it('open connections that silently drop all data', async (t) => {
+    // Guards against hanging streams and the reuse of dead idle connections: none is closed, and
+    // only new connections work.
     const fleet = await startFleet({ stepMs: 20, hasRelays: true });
     await sendWarmUpRequests(fleet);
     const result = await sendWithFault(fleet, () => {
@@ -163,9 +162,9 @@
     t.is(next.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
   });
 
-  it('frames that are crossed, repeated and reordered', async (t) => {
-    // A clerk reads another caller's words. The engine mixes frames up: another request's frame,
-    // the same frame twice, two frames in the wrong order.
+  it('misrouted, duplicated and reordered frames', async (t) => {
+    // Guards against a caller receiving frames of another request, or its own frames twice or out
+    // of order.
     const fleet = await startFleet();
     const faults = { crossedFrames: 20, duplicateFrames: 20, reorderedFrames: 4 };
     await setEngineFaults(fleet, faults);
@@ -179,9 +178,8 @@
     });
   });
 
-  it('an answer that ends early without its end marker', async (t) => {
-    // A grower's note lacks its last lines and looks whole. The engine ends the stream cleanly after
-    // five tokens; without the end marker it counts as broken off, and goes on elsewhere.
+  it('a stream that ends cleanly without its end marker', async (t) => {
+    // Guards against taking a truncated stream for complete: the engine ends it after five tokens.
     const fleet = await startFleet();
     await setEngineFaults(fleet, { truncatedAnswers: 1 });
     const prompt = 'a consignment note [length:30]';
@@ -190,9 +188,9 @@
     t.is(result.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
   });
 
-  it('an order whose answer from the service is lost', async (t) => {
-    // Crates arrive twice. The service takes the order and its answer is lost; the router must not
-    // send it again, nor call it not run, nor let the second try through.
+  it('a non-repeatable request whose response is lost', async (t) => {
+    // Guards against duplicate execution: the service ran the request, so the router must neither
+    // retry it, nor report it as not run, nor let a second attempt through.
     const fleet = await startFleet();
     await setFaults(fleet.service.addresses.url ?? '', { lostAnswers: 1 });
     const key = randomUUID();
@@ -203,9 +201,9 @@
     t.is(await countRuns(fleet, key), 1);
   });
 
-  it('the same order through two entries at the same moment', async (t) => {
-    // Crates arrive twice. A caller without an answer sends the order again through another entry
-    // while the first is still under way.
+  it('the same non-repeatable request through two instances at once', async (t) => {
+    // Guards against duplicate execution when a caller retries through another instance while the
+    // first attempt is in progress.
     const fleet = await startFleet();
     await setFaults(fleet.service.addresses.url ?? '', { delayMs: 300 });
     const key = randomUUID();
@@ -220,9 +218,9 @@
     t.is(getOutcome(other), 'not_run');
   });
 
-  it('the platform down for long', async (t) => {
-    // Nothing works because the table is down. Orders that may run once only are refused as not run;
-    // everything else goes on with the configuration in force.
+  it('a platform outage', async (t) => {
+    // Guards against refusing all requests while the table is down: only non-repeatable requests
+    // are refused, as not run.
     const fleet = await startFleet();
     await setFaults(fleet.platform.addresses.url ?? '', { isDown: true });
     const key = randomUUID();
@@ -238,9 +236,9 @@
     t.is(await countRuns(fleet, key), 1);
   });
 
-  it('a claim whose write takes effect and whose answer is lost', async (t) => {
-    // An order is refused and the key is burnt. The claim was written; only the answer was lost. The
-    // entry reads it back, knows its own attempt, and goes on.
+  it('a claim that is written although its response is lost', async (t) => {
+    // Guards against refusing a request whose claim was written: the instance must read the claim
+    // back and recognise it as its own.
     const fleet = await startFleet();
     await setFaults(fleet.platform.addresses.url ?? '', { lostAnswers: 1 });
     const key = randomUUID();
@@ -248,9 +246,9 @@
     t.is(await countRuns(fleet, key), 1);
   });
 
-  it('a claim that lands after its entry gave up', async (t) => {
-    // Crates arrive twice, or the key is dead for a day. The insert lands two seconds after the entry
-    // said not run; the next try, at the other entry, finds it and asks whether it was sent.
+  it('a claim that is written after its instance timed out', async (t) => {
+    // Guards against duplicate execution and an unusable key: the claim takes effect after the
+    // not_run response. The next instance must ask the claim's holder whether the request was sent.
     const fleet = await startFleet();
     const faults = { lateWrites: 1, lateWriteMs: 2500 };
     await setFaults(fleet.platform.addresses.url ?? '', faults);
@@ -264,14 +262,14 @@
     t.is(await countRuns(fleet, key), 1);
   });
 
-  it('an entry killed while it holds a claim', async (t) => {
-    // Crates arrive twice. The entry dies after sending the order; the next entry finds a claim and
-    // nobody to ask, and must not take silence for proof.
+  it('an instance killed while it holds a claim', async (t) => {
+    // Guards against duplicate execution: the claim's holder sent the request and cannot be asked,
+    // so the next instance must not assume that the request never ran.
     const fleet = await startFleet();
     await setFaults(fleet.service.addresses.url ?? '', { delayMs: 1000 });
     const key = randomUUID();
     const interrupted = sendOrder(fleet, 0, key).catch(() => undefined);
-    await waitFor('the order runs', async () => (await countRuns(fleet, key)) === 1);
+    await waitFor('the service runs the request', async () => (await countRuns(fleet, key)) === 1);
     fleet.routers[0]?.sendSignal('SIGKILL');
     await interrupted;
     const second = await sendOrder(fleet, 1, key);
@@ -279,9 +277,9 @@
     t.is(await countRuns(fleet, key), 1);
   });
 
-  it('an entry frozen while others wait on it', async (t) => {
-    // All requests hang. The entry that hands out slots is stopped; it answers nothing and its
-    // connections stay open. Others stop waiting for it and hand out slots themselves.
+  it('a frozen instance that owns a shard', async (t) => {
+    // Guards against hanging requests: the instance that grants slots stops responding and keeps
+    // its connections open, so others must stop waiting and grant slots themselves.
     const fleet = await startFleet({ routers: 3 });
     const statuses = await Promise.all(
       [0, 1, 2].map((index) => fetchStatus(getOperatorUrl(fleet, index))),
@@ -300,15 +298,15 @@
       t.true(result.isWhole, result.errorType);
       t.is(result.text, buildAnswer(prompts[position] ?? '', RESPONSE_TOKENS_MAX));
     });
-    await waitFor('the frozen entry is back', async () => {
+    await waitFor('the resumed instance lists all members as alive', async () => {
       const status = await fetchStatus(getOperatorUrl(fleet, ownerIndex));
       return status.members.every((member) => member.state === 'alive');
     });
   });
 
   it('SIGTERM, twice, during streams and orders', async (t) => {
-    // An answer is cut off by a roll-out. The instance is told to leave, then told again; what runs
-    // is finished, what comes from the balancer meanwhile is still served, and only then it ends.
+    // Guards against requests cut off by a roll-out: a draining instance completes running requests
+    // and still serves new ones from the load balancer; a second SIGTERM must not change that.
     const fleet = await startFleet({ stepMs: 30 });
     const prompt = 'a long draft [length:100]';
     const running = sendCompletion(fleet, 0, prompt);
@@ -318,12 +316,12 @@
       setTimeout(resolve, 300);
     });
     fleet.routers[0]?.sendSignal('SIGTERM');
-    await waitFor('readiness is off', async () => {
+    await waitFor('/readyz responds 503', async () => {
       const response = await sendRequest(`${getOperatorUrl(fleet, 0)}/readyz`);
       return response.status === 503;
     });
     fleet.routers[0]?.sendSignal('SIGTERM');
-    await waitFor('the other entry knows', async () => {
+    await waitFor('the other instance lists it as leaving', async () => {
       const status = await fetchStatus(getOperatorUrl(fleet, 1));
       return status.members.some(({ name, state }) => name === 'entry-1' && state === 'leaving');
     });
@@ -348,16 +346,19 @@
   });
 
   it('an engine that leaves', async (t) => {
-    // Requests go to an engine that is shutting down. One entry learns it; every entry must know
-    // within three seconds, whatever the platform's list says. What runs there is not cut off.
+    // Guards against sending requests to an engine that is shutting down: once one instance learns
+    // it, every instance must. Running requests are completed.
     const fleet = await startFleet({ stepMs: 20 });
     const prompt = 'already running [length:80]';
     const running = sendCompletion(fleet, 0, prompt);
-    await waitFor('it runs', async () => (await findBusyEngine(fleet)) >= 0);
+    await waitFor(
+      'an engine has a completion in progress',
+      async () => (await findBusyEngine(fleet)) >= 0,
+    );
     const leavingIndex = await findBusyEngine(fleet);
     const engineUrl = fleet.engines[leavingIndex]?.addresses.url ?? '';
     await setFaults(engineUrl, { isLeaving: true });
-    await waitFor('every entry knows', async () => {
+    await waitFor('every instance lists the engine as leaving', async () => {
       const statuses = await Promise.all(
         [0, 1].map((index) => fetchStatus(getOperatorUrl(fleet, index))),
       );
@@ -377,9 +378,9 @@
     t.is((await running).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
   });
 
-  it('a change while the platform goes down, and an instance that starts without it', async (t) => {
-    // A new instance comes up with no configuration, or with an old one. The platform is down; the
-    // peers have the latest version, and the newcomer must take that.
+  it('an instance that starts during a platform outage after a configuration change', async (t) => {
+    // Guards against starting with no configuration or an outdated one: the instance must take the
+    // latest version from its peers.
     const fleet = await startFleet();
     const path = join(fleet.configurationFolder, '10-classes.yaml');
     const classes = await readFile(path, 'utf8');
@@ -398,16 +399,16 @@
       platformUrl: fleet.platform.addresses.url ?? '',
       seeds: [fleet.routers[0]?.addresses.peers ?? ''],
     });
-    await waitFor('the newcomer is ready', async () => {
+    await waitFor('the new instance is ready', async () => {
       const status = await fetchStatus(newRouter.addresses.operators ?? '');
       return status.stage === 'ready';
     });
     t.is((await fetchStatus(newRouter.addresses.operators ?? '')).configurationVersion, 2);
   });
 
-  it('a flood of bad peers and slow readers', async (t) => {
-    // One caller's behaviour slows everybody. Streams are opened and never read, peers without the
-    // secret send messages, bodies are garbage; others' answers stay whole.
+  it('unread streams and unauthenticated peer messages', async (t) => {
+    // Guards against one caller affecting others: streams are opened and never read, and a peer
+    // message arrives without the secret.
     const fleet = await startFleet();
     const controllers = Array.from({ length: 20 }, () => new AbortController());
     const unreadStreams = controllers.map((controller) =>
--- a/src/test/http.ts
+++ b/src/test/http.ts
@@ -1,18 +1,18 @@
-/** Short calls of stand-ins and routers in tests. */
+/** HTTP requests to stand-ins and routers in tests. */
 import { request } from 'undici';
 import type { RouterStatus } from '../types/router-status.js';
 import { TEST_SECRET } from './processes.js';
 
-/** An answer of any status, parsed when it is JSON. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
+  /** The parsed body, or undefined if it is not JSON. */
   readonly json: unknown;
 }
 
-/** Options of a call. */
 export interface RequestOptions {
+  /** @default 'POST' with a body, otherwise 'GET' */
   readonly method?: 'GET' | 'POST' | 'PUT' | 'DELETE';
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
@@ -26,7 +26,7 @@
   }
 }
 
-/** Sends one call and reads the answer to its end. */
+/** Sends a request and reads the whole response, whatever its status. */
 export async function sendRequest(
   url: string,
   options: RequestOptions = {},
@@ -40,7 +40,7 @@
   return { status: response.statusCode, headers: response.headers, text, json: parseJson(text) };
 }
 
-/** Switches faults of a stand-in process on or off. */
+/** Updates the injected faults of a stand-in process. */
 export async function setFaults(url: string, faults: object): Promise<void> {
   await sendRequest(`${url}/faults`, {
     headers: { 'content-type': 'application/json' },
@@ -48,7 +48,6 @@
   });
 }
 
-/** A router's status. */
 export async function fetchStatus(operatorsUrl: string): Promise<RouterStatus> {
   const response = await sendRequest(`${operatorsUrl}/status`, {
     headers: { authorization: `Bearer ${TEST_SECRET}` },
@@ -56,19 +55,21 @@
   return response.json as RouterStatus;
 }
 
-/** Asks again until a condition holds; throws naming it when it never does. */
+/** Polls every 50 ms until a condition holds; throws after `attemptsMax` polls. */
 export async function waitFor(
   condition: string,
   isMet: () => Promise<boolean> | boolean,
   attemptsMax = 400,
 ): Promise<void> {
   for (let attempt = 0; attempt < attemptsMax; attempt += 1) {
+    // Each poll follows the one before.
     // eslint-disable-next-line no-await-in-loop
     if (await isMet()) return;
+    // The delay separates two polls.
     // eslint-disable-next-line no-await-in-loop
     await new Promise<void>((resolve) => {
       setTimeout(resolve, 50);
     });
   }
-  throw new Error(`never came about: ${condition}`);
+  throw new Error(`timed out waiting for condition: ${condition}`);
 }
--- a/src/test/load-shares.ts
+++ b/src/test/load-shares.ts
@@ -1,8 +1,8 @@
-/** Shares of load as instances tell them, for tests of placing. */
+/** Endpoint loads as instances report them, for tests of placement. */
 import { hashStartId } from '../placement/remote-loads.js';
 import type { EndpointLoadShare } from '../placement/remote-loads.js';
 
-/** Builds a share of endpoint `a` with nothing under way, but for what is given. */
+/** Builds the load share of an idle endpoint, overridden by the given fields. */
 export function buildShare({
   endpoint = 'a',
   ...share
--- a/src/test/process-fleet.ts
+++ b/src/test/process-fleet.ts
@@ -1,4 +1,4 @@
-/** A small deployment of separate processes: platform, engines, a service and routers. */
+/** A small deployment of separate processes: stand-in platform, engines, a service and routers. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -21,29 +21,27 @@
 export const OTHER_KEY = 'key-of-the-stalls';
 export const TEST_DATA_CENTRES = ['peliyagoda', 'wattala'] as const;
 
-/** A running deployment. */
 export interface ProcessFleet {
   readonly platform: TestProcess;
   readonly engines: readonly TestProcess[];
   readonly service: TestProcess;
   readonly routers: readonly TestProcess[];
-  /** Relays before the engines, where the fleet was asked for them. */
+  /** One in front of each engine if `hasRelays` was set, otherwise empty. */
   readonly relays: readonly Relay[];
   readonly configurationFolder: string;
-  /** Publishes the folder with the operators' tool. */
+  /** Publishes the configuration folder with `hyssoptally-ctl apply`. */
   publish(): Promise<{ code: number; out: string; err: string }>;
   stop(): Promise<void>;
 }
 
-/** What to start. */
 export interface ProcessFleetOptions {
   /** @default 2 */
   readonly routers?: number;
   /** @default 2 */
   readonly engines?: number;
-  /** @default 10 */
+  /** Duration of a decoding step of an engine. @default 10 */
   readonly stepMs?: number;
-  /** Puts a relay before each engine. @default false */
+  /** Puts a TCP relay in front of each engine. @default false */
   readonly hasRelays?: boolean;
   readonly engineFlags?: readonly string[];
   readonly routerFlags?: readonly string[];
@@ -93,7 +91,7 @@
   await writeFile(join(folder, '30-organisations.yaml'), stringify({ organisations }));
 }
 
-/** Starts a deployment and waits until its routers are ready and know each other. */
+/** Starts a deployment and waits until every router is ready and lists every other as a member. */
 export async function startProcessFleet(options: ProcessFleetOptions = {}): Promise<ProcessFleet> {
   const folder = await mkdtemp(join(tmpdir(), 'hyssoptally-'));
   const platform = await startProcess('standin', ['platform', '--list-lag-ms', '200']);
@@ -132,7 +130,7 @@
       }),
     ),
   );
-  await waitFor('every router is ready and sees every other', async () => {
+  await waitFor('every router is ready and lists every other', async () => {
     const statuses = await Promise.all(
       routers.map((router) => fetchStatus(router.addresses.operators ?? '')),
     );
--- a/src/test/processes.ts
+++ b/src/test/processes.ts
@@ -1,11 +1,11 @@
-/** Starts the project's own binaries as processes for end-to-end tests, and ends them by id. */
+/** Starts and stops the project's binaries as child processes of end-to-end tests. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { createInterface } from 'node:readline';
 import { fileURLToPath } from 'node:url';
 import { STANDIN_CREDENTIALS } from '../standin/platform.js';
 
-/** What a binary prints once it listens. */
+/** The JSON line that a binary prints to stdout once it listens. */
 export interface ListenAddresses {
   readonly url?: string;
   readonly callers?: string;
@@ -13,23 +13,21 @@
   readonly peers?: string;
 }
 
-/** A process of the project's. */
 export interface TestProcess {
   readonly addresses: ListenAddresses;
   readonly child: ChildProcess;
-  /** Sends a signal; a dead process is no error. */
+  /** Does nothing if the process has already exited. */
   sendSignal(signal: NodeJS.Signals): void;
-  /** Waits for the end; the exit code, or undefined after a signal. */
+  /** Resolves to the exit code, or to undefined if a signal ended the process. */
   waitForExit(): Promise<number | undefined>;
 }
 
-/** Settings all routers of a test share. */
 export interface RouterProcessOptions {
   readonly name: string;
   readonly dataCentre: string;
   readonly platformUrl: string;
   readonly seeds?: readonly string[];
-  /** HOST:PORT to listen on for peers. */
+  /** HOST:PORT */
   readonly peerListenAddress?: string;
   readonly flags?: readonly string[];
 }
@@ -38,7 +36,7 @@
 
 const runningProcesses = new Set<ChildProcess>();
 
-/** Starts a binary and waits until it says that it listens. */
+/** Starts `dist/cli/<binary>-main.js` and waits until it listens. */
 export async function startProcess(binary: string, args: readonly string[]): Promise<TestProcess> {
   const path = fileURLToPath(new URL(`../cli/${binary}-main.js`, import.meta.url));
   const child = spawn(process.execPath, [path, ...args], { stdio: ['ignore', 'pipe', 'inherit'] });
@@ -51,7 +49,9 @@
   });
   const addresses = await new Promise<ListenAddresses>((resolve, reject) => {
     createInterface({ input: child.stdout }).once('line', (line) => resolve(JSON.parse(line)));
-    child.once('exit', (code) => reject(new Error(`${binary} ended early with ${code}`)));
+    child.once('exit', (code) =>
+      reject(new Error(`${binary} exited with code ${code} before it listened`)),
+    );
   });
   return {
     addresses,
@@ -63,7 +63,6 @@
   };
 }
 
-/** Starts a router. */
 export function startRouterProcess(options: RouterProcessOptions): Promise<TestProcess> {
   const { name, dataCentre, platformUrl, seeds = [], flags = [] } = options;
   return startProcess('router', [
@@ -80,7 +79,7 @@
   ]);
 }
 
-/** Runs the operators' tool to its end. */
+/** Runs `hyssoptally-ctl` and waits for it to exit. */
 export async function runCtl(
   args: readonly string[],
   env: Readonly<Record<string, string>> = {},
@@ -106,7 +105,7 @@
   return { code, out, err };
 }
 
-/** Flags of the operators' tool for a stand-in platform. */
+/** The `hyssoptally-ctl` flags that select a stand-in platform. */
 export function listPlatformFlags(platformUrl: string): string[] {
   return [
     ...['--platform-table', platformUrl, '--platform-objects', platformUrl],
@@ -115,7 +114,7 @@
   ];
 }
 
-/** Ends everything that still runs. */
+/** Kills every child process that is still running. */
 export function stopProcesses(): void {
   for (const child of runningProcesses) child.kill('SIGKILL');
 }
--- a/src/test/relay.ts
+++ b/src/test/relay.ts
@@ -1,16 +1,15 @@
-/** A small TCP relay, to lose track of connections between two processes of a test. */
+/** A TCP relay that can stop forwarding on open connections without closing them. */
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** A running relay. */
 export interface Relay {
   readonly url: string;
-  /** Connections open now carry nothing from here on and stay open; new ones work. */
+  /** Stops forwarding on the connections open now, without closing them; new ones work. */
   silenceOpen(): void;
   close(): Promise<void>;
 }
 
-/** Starts a relay to a port of this machine. */
+/** Starts a relay to a port on the loopback interface. */
 export async function startRelay(targetPort: number): Promise<Relay> {
   const sockets = new Set<Socket>();
   const stalledSockets = new Set<Socket>();
