--- a/src/test/http.ts
+++ b/src/test/http.ts
@@ -1,18 +1,18 @@
-/** Short calls of stand-ins and routers in tests. */
+/** HTTP requests to stand-ins and routers in tests. */
 import { request } from 'undici';
 import type { RouterStatus } from '../types/router-status.js';
 import { TEST_SECRET } from './processes.js';
 
-/** An answer of any status, parsed when it is JSON. */
-export interface JsonAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
+  /** The parsed body, or undefined if it is not JSON. */
   readonly json: unknown;
 }
 
-/** Options of a call. */
-export interface CallOptions {
+export interface RequestOptions {
+  /** @default 'POST' with a body, otherwise 'GET' */
   readonly method?: 'GET' | 'POST' | 'PUT' | 'DELETE';
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
@@ -26,8 +26,11 @@
   }
 }
 
-/** Sends one call and reads the answer to its end. */
-export async function sendCall(url: string, options: CallOptions = {}): Promise<JsonAnswer> {
+/** Sends a request and reads the whole response, whatever its status. */
+export async function sendRequest(
+  url: string,
+  options: RequestOptions = {},
+): Promise<HttpResponse> {
   const response = await request(url, {
     method: options.method ?? (options.body === undefined ? 'GET' : 'POST'),
     headers: { ...options.headers },
@@ -37,35 +40,36 @@
   return { status: response.statusCode, headers: response.headers, text, json: parseJson(text) };
 }
 
-/** Switches faults of a stand-in process on or off. */
+/** Updates the injected faults of a stand-in process. */
 export async function setFaults(url: string, faults: object): Promise<void> {
-  await sendCall(`${url}/faults`, {
+  await sendRequest(`${url}/faults`, {
     headers: { 'content-type': 'application/json' },
     body: JSON.stringify(faults),
   });
 }
 
-/** A router's status. */
 export async function fetchStatus(operatorsUrl: string): Promise<RouterStatus> {
-  const answer = await sendCall(`${operatorsUrl}/status`, {
+  const response = await sendRequest(`${operatorsUrl}/status`, {
     headers: { authorization: `Bearer ${TEST_SECRET}` },
   });
-  return answer.json as RouterStatus;
+  return response.json as RouterStatus;
 }
 
-/** Asks again until a condition holds; throws naming it when it never does. */
+/** Polls every 50 ms until a condition holds; throws after `attemptsMax` polls. */
 export async function waitFor(
-  what: string,
-  isDone: () => Promise<boolean> | boolean,
-  tries = 400,
+  condition: string,
+  isMet: () => Promise<boolean> | boolean,
+  attemptsMax = 400,
 ): Promise<void> {
-  for (let attempt = 0; attempt < tries; attempt += 1) {
+  for (let attempt = 0; attempt < attemptsMax; attempt += 1) {
+    // Each poll follows the one before.
     // eslint-disable-next-line no-await-in-loop
-    if (await isDone()) return;
+    if (await isMet()) return;
+    // The delay separates two polls.
     // eslint-disable-next-line no-await-in-loop
     await new Promise<void>((resolve) => {
       setTimeout(resolve, 50);
     });
   }
-  throw new Error(`never came about: ${what}`);
+  throw new Error(`timed out waiting for condition: ${condition}`);
 }
--- a/src/test/relay.ts
+++ b/src/test/relay.ts
@@ -1,19 +1,18 @@
-/** A small TCP relay, to lose track of connections between two processes of a test. */
+/** A TCP relay that can stop forwarding on open connections without closing them. */
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** A running relay. */
 export interface Relay {
   readonly url: string;
-  /** Connections open now carry nothing from here on and stay open; new ones work. */
+  /** Stops forwarding on the connections open now, without closing them; new ones work. */
   silenceOpen(): void;
   close(): Promise<void>;
 }
 
-/** Starts a relay to a port of this machine. */
+/** Starts a relay to a port on the loopback interface. */
 export async function startRelay(targetPort: number): Promise<Relay> {
   const sockets = new Set<Socket>();
-  const silent = new Set<Socket>();
+  const stalledSockets = new Set<Socket>();
 
   function addSocket(socket: Socket): void {
     sockets.add(socket);
@@ -21,19 +20,19 @@
     socket.on('error', () => socket.destroy());
   }
 
-  function sendOn(from: Socket, to: Socket): void {
+  function addForwarding(from: Socket, to: Socket): void {
     from.on('data', (chunk) => {
-      if (!silent.has(from)) to.write(chunk);
+      if (!stalledSockets.has(from)) to.write(chunk);
     });
     from.on('close', () => to.destroy());
   }
 
-  const server = createServer((caller) => {
-    addSocket(caller);
+  const server = createServer((client) => {
+    addSocket(client);
     const target = connect(targetPort, '127.0.0.1');
     addSocket(target);
-    sendOn(caller, target);
-    sendOn(target, caller);
+    addForwarding(client, target);
+    addForwarding(target, client);
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -42,7 +41,7 @@
   return {
     url: `http://127.0.0.1:${port}`,
     silenceOpen() {
-      for (const socket of sockets) silent.add(socket);
+      for (const socket of sockets) stalledSockets.add(socket);
     },
     close: () =>
       new Promise((resolve) => {
