--- a/src/node/answer-writers.ts
+++ b/src/node/answer-writers.ts
@@ -1,20 +1,19 @@
-/** Writes answers to callers: streamed frames, one JSON body, or a plain service's answer. */
+/** Writes answers to callers: event streams, JSON bodies and responses of plain services. */
 import type { Response } from 'express';
 import type { AnswerEnd, AnswerSink } from '../requests/routed-request.js';
 import type { RequestFailure } from '../types/outcomes.js';
 import { STATUS_OF_FAILURE } from '../types/outcomes.js';
 
-/** Bytes a slow caller may leave unread before it counts as gone. */
-export const UNREAD_MAX = 1024 * 1024;
+/** Unread bytes after which a slow caller is disconnected. */
+export const UNREAD_BYTES_MAX = 1024 * 1024;
 
-/** The JSON object of a failure. */
 export function buildErrorBody(failure: RequestFailure, requestId: string): object {
   const { type, message, outcome, retryAfterMs } = failure;
   const retry = retryAfterMs === undefined ? {} : { retry_after_ms: retryAfterMs };
   return { error: { type, message, outcome, ...retry, request_id: requestId } };
 }
 
-/** Answers with a failure before anything else was written. */
+/** Sends a failure; does nothing if the response has already started or its connection is closed. */
 export function sendFailure(response: Response, failure: RequestFailure, requestId: string): void {
   if (response.headersSent || response.destroyed) return;
   if (failure.retryAfterMs !== undefined) {
@@ -23,21 +22,25 @@
   response.status(STATUS_OF_FAILURE[failure.type]).json(buildErrorBody(failure, requestId));
 }
 
-/** Settings of a completion's writer. */
 export interface CompletionWriterOptions {
   readonly response: Response;
   readonly requestId: string;
   readonly model: string;
   readonly createdSeconds: number;
-  /** The caller does not read: nothing more is kept for it. */
-  readonly onSlow: () => void;
+  /** Called when more than `UNREAD_BYTES_MAX` is waiting to be read. */
+  readonly onSlowReader: () => void;
 }
 
-/** Streams a completion as server-sent events; `[DONE]` only after a whole answer. */
+/** Streams a completion as server-sent events; sends `[DONE]` only after a complete answer. */
 export function createStreamWriter(options: CompletionWriterOptions): AnswerSink {
   const { response, requestId, model, createdSeconds } = options;
-  const head = { id: requestId, object: 'chat.completion.chunk', created: createdSeconds, model };
-  const prefix = `data: ${JSON.stringify(head).slice(0, -1)},"choices":[{"index":0,"delta":`;
+  const chunkFields = {
+    id: requestId,
+    object: 'chat.completion.chunk',
+    created: createdSeconds,
+    model,
+  };
+  const prefix = `data: ${JSON.stringify(chunkFields).slice(0, -1)},"choices":[{"index":0,"delta":`;
   let isStarted = false;
 
   function startStream(): void {
@@ -56,7 +59,7 @@
     onDelta(text) {
       startStream();
       response.write(`${prefix}{"content":${JSON.stringify(text)}},"finish_reason":null}]}\n\n`);
-      if (response.writableLength > UNREAD_MAX) options.onSlow();
+      if (response.writableLength > UNREAD_BYTES_MAX) options.onSlowReader();
     },
     onComplete(end) {
       startStream();
@@ -74,10 +77,10 @@
   };
 }
 
-/** Collects a completion and answers with one JSON body. */
-export function createBodyWriter(options: CompletionWriterOptions): AnswerSink {
+/** Sends a completion as one JSON body. */
+export function createJsonWriter(options: CompletionWriterOptions): AnswerSink {
   const { response, requestId, model, createdSeconds } = options;
-  const pieces: string[] = [];
+  const deltas: string[] = [];
 
   function buildBody(end: AnswerEnd): object {
     const isCompletion = end.kind === 'completion';
@@ -89,7 +92,7 @@
       choices: [
         {
           index: 0,
-          message: { role: 'assistant', content: pieces.join('') },
+          message: { role: 'assistant', content: deltas.join('') },
           finish_reason: isCompletion ? end.finishReason : 'stop',
         },
       ],
@@ -99,7 +102,7 @@
 
   return {
     onDelta(text) {
-      pieces.push(text);
+      deltas.push(text);
     },
     onComplete(end) {
       if (!response.destroyed) response.json(buildBody(end));
@@ -110,7 +113,7 @@
   };
 }
 
-/** Passes a plain service's answer on. */
+/** Forwards the response of a plain service. */
 export function createServiceWriter(response: Response, requestId: string): AnswerSink {
   return {
     onDelta: () => undefined,
--- a/src/node/claim-desk.ts
+++ b/src/node/claim-runner.ts
@@ -1,4 +1,7 @@
-/** Runs claims against the platform's table and answers other entries about attempts here. */
+/**
+ * Claims once-only requests in the platform's table and answers other instances' queries about
+ * attempts of this instance.
+ */
 import { ATTEMPT_STATE, createAttemptLedger } from '../claims/attempt-ledger.js';
 import { createClaim } from '../claims/claim.js';
 import type {
@@ -21,25 +24,23 @@
 import { assertNever } from '../utils/assert-never.js';
 import type { Result } from '../utils/result.js';
 
-const SETTLE_TRIES = 3;
-const SETTLE_PAUSE_MS = 500;
-const BUDGET_RETRY_MS = 1000;
+const SETTLE_WRITE_TRIES = 3;
+const SETTLE_RETRY_DELAY_MS = 500;
+const WRITE_BUDGET_RETRY_MS = 1000;
 
-/** A claim this entry holds. */
+/** A claim held by this instance. */
 export interface HeldClaim {
-  /** The last look before sending: fresh by both clocks, and not abandoned. */
+  /** Marks the attempt as sent; false if the claim has expired or the attempt was abandoned. */
   take(): boolean;
-  /** Records how the request ended. */
+  /** Stores the outcome of the request. */
   settle(state: ClaimState, answer?: StoredAnswer): void;
 }
 
-/** How claiming ended. */
-export type ClaimEnding =
+export type ClaimResult =
   | { readonly kind: 'held'; readonly claim: HeldClaim }
   | { readonly kind: 'replay'; readonly answer: StoredAnswer }
   | { readonly kind: 'refused'; readonly failure: RequestFailure };
 
-/** What is claimed. */
 export interface ClaimRequest {
   readonly organisation: string;
   readonly idempotencyKey: string;
@@ -47,25 +48,23 @@
   readonly bodyHash: string;
 }
 
-/** Settings of a claim desk. */
-export interface ClaimDeskOptions {
+export interface ClaimRunnerOptions {
   readonly self: string;
   readonly table: TableClient;
   readonly timers: TimerService;
   readonly metrics: Metrics;
   readonly writesPerSecond: number;
-  /** Asks another entry; `unknown` when it does not answer. */
+  /** Queries another instance; `unknown` if it does not answer. */
   readonly queryAttempt: (entry: string, attemptId: string) => Promise<AttemptVerdict>;
 }
 
-/** Claims of one entry. */
-export interface ClaimDesk {
-  claim(request: ClaimRequest): Promise<ClaimEnding>;
-  /** What this entry tells others of an attempt. */
+export interface ClaimRunner {
+  claim(request: ClaimRequest): Promise<ClaimResult>;
+  /** The state of an attempt, as reported to other instances. */
   getVerdict(attemptId: string): AttemptVerdict;
 }
 
-function computeWriteEnding(result: Result<void, PlatformError>): WriteEnding {
+function computeWriteResult(result: Result<void, PlatformError>): WriteEnding {
   if (result.ok) return 'written';
   switch (result.val.kind) {
     case PLATFORM_FAILURE.Conflict:
@@ -79,22 +78,21 @@
   }
 }
 
-/** Builds a desk that holds nothing. */
-export function createClaimDesk(options: ClaimDeskOptions): ClaimDesk {
+export function createClaimRunner(options: ClaimRunnerOptions): ClaimRunner {
   const { self, table, timers, metrics, writesPerSecond } = options;
   const { clock } = timers;
   const ledger = createAttemptLedger();
-  let allowance = writesPerSecond;
+  let availableWrites = writesPerSecond;
   let refilledMs = clock.monotonicMs();
 
-  /** Keeps this entry's part of the platform's writes; a claim costs two. */
-  function hasWriteBudget(): boolean {
+  /** Takes the two writes of a claim from this instance's write budget; false if it is used up. */
+  function takeWriteBudget(): boolean {
     const nowMs = clock.monotonicMs();
     const refill = ((nowMs - refilledMs) / 1000) * writesPerSecond;
-    allowance = Math.min(writesPerSecond, allowance + refill);
+    availableWrites = Math.min(writesPerSecond, availableWrites + refill);
     refilledMs = nowMs;
-    if (allowance < 2) return false;
-    allowance -= 2;
+    if (availableWrites < 2) return false;
+    availableWrites -= 2;
     return true;
   }
 
@@ -108,9 +106,9 @@
     return { kind: 'read', claim, wallMs: clock.wallMs() };
   }
 
-  async function queryEntry(entry: string, attemptId: string): Promise<ClaimMessage> {
+  async function queryInstance(instance: string, attemptId: string): Promise<ClaimMessage> {
     const verdict =
-      entry === self ? getVerdict(attemptId) : await options.queryAttempt(entry, attemptId);
+      instance === self ? getVerdict(attemptId) : await options.queryAttempt(instance, attemptId);
     return { kind: 'answered', verdict };
   }
 
@@ -123,18 +121,18 @@
         metrics.count(METRIC.ClaimsWritten);
         const { document } = command;
         const written = await table.transact([{ kind: 'insert', key, document }]);
-        return { kind: 'inserted', ending: computeWriteEnding(written) };
+        return { kind: 'inserted', ending: computeWriteResult(written) };
       }
       case 'take_over': {
         metrics.count(METRIC.ClaimsWritten);
         const { document, expectedVersion } = command;
         const written = await table.transact([{ kind: 'replace', key, document, expectedVersion }]);
-        return { kind: 'taken_over', ending: computeWriteEnding(written) };
+        return { kind: 'taken_over', ending: computeWriteResult(written) };
       }
       case 'read':
         return readClaim(key);
       case 'query':
-        return queryEntry(command.entry, command.attemptId);
+        return queryInstance(command.entry, command.attemptId);
       case 'proceed':
       case 'replay':
       case 'refuse':
@@ -159,22 +157,24 @@
     }
   }
 
-  async function writeSettled(
+  async function writeSettledClaim(
     key: ItemKey,
     version: number,
     document: ClaimDocument,
   ): Promise<void> {
-    for (let tries = 0; tries < SETTLE_TRIES; tries += 1) {
+    for (let tries = 0; tries < SETTLE_WRITE_TRIES; tries += 1) {
       metrics.count(METRIC.ClaimsWritten);
+      // Retries run one after the other.
       // eslint-disable-next-line no-await-in-loop
       const written = await table.transact([
         { kind: 'replace', key, document, expectedVersion: version },
       ]);
-      // A conflict after a lost answer is our own earlier write; nobody else may write here.
+      // A conflict means that an earlier write succeeded but its response was lost.
       if (written.ok || written.val.kind === PLATFORM_FAILURE.Conflict) return;
+      // Waits between retries.
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
-        timers.subscribeOnce(SETTLE_PAUSE_MS, resolve);
+        timers.subscribeOnce(SETTLE_RETRY_DELAY_MS, resolve);
       });
     }
   }
@@ -194,16 +194,16 @@
       },
       settle(state, answer) {
         if (!isTaken) ledger.remove(attemptId);
-        const isKept = answer !== undefined && answer.body.length <= STORED_ANSWER_MAX;
-        const document = claim.buildDocument(state, isKept ? answer : undefined);
-        writeSettled(key, version, document).catch(() => undefined);
+        const isStored = answer !== undefined && answer.body.length <= STORED_ANSWER_MAX;
+        const document = claim.buildDocument(state, isStored ? answer : undefined);
+        writeSettledClaim(key, version, document).catch(() => undefined);
       },
     };
   }
 
   return {
     async claim(request) {
-      if (!hasWriteBudget()) {
+      if (!takeWriteBudget()) {
         return {
           kind: 'refused',
           failure: {
@@ -211,7 +211,7 @@
             message:
               'too many once-only requests at the moment; this one was not run; send it again',
             outcome: OUTCOME.NotRun,
-            retryAfterMs: BUDGET_RETRY_MS,
+            retryAfterMs: WRITE_BUDGET_RETRY_MS,
           },
         };
       }
@@ -227,20 +227,21 @@
       let message = await runCommand(key, command);
       while (message !== undefined) {
         command = claim.handle(message);
+        // Each command depends on the result of the one before.
         // eslint-disable-next-line no-await-in-loop
         message = await runCommand(key, command);
       }
       if (command.kind === 'proceed') {
         return { kind: 'held', claim: createHeldClaim(claim, key, command.version, attemptId) };
       }
-      // From here on this attempt can never be sent; whoever asks may rely on it.
+      // Marks the attempt as abandoned, so that it can never be sent.
       ledger.remove(attemptId);
       if (command.kind === 'replay') return { kind: 'replay', answer: command.answer };
       if (command.kind === 'refuse') {
         metrics.count(METRIC.ClaimsRefused);
         return { kind: 'refused', failure: command.failure };
       }
-      throw new Error(`A claim ended in ${command.kind}; end it in proceed, replay or refuse`);
+      throw new Error(`unexpected final command of a claim: ${command.kind}`);
     },
     getVerdict,
   };
--- a/src/node/configuration-runner.ts
+++ b/src/node/configuration-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out what the configuration keeper asks for: polls, fetches, applying. */
+/** Executes the commands of the configuration keeper: polls, fetches and applies configurations. */
 import { createConfigurationKeeper, PLATFORM_SOURCE } from '../configuration/keeper.js';
 import type { KeeperCommand, KeeperMessage } from '../configuration/keeper.js';
 import { parseManifest } from '../configuration/manifest.js';
@@ -13,28 +13,25 @@
 import { assertNever } from '../utils/assert-never.js';
 
 const TICK_MS = 200;
-/** Texts asked of a peer in one call. */
-const TEXTS_PER_CALL = 200;
-/** Texts fetched from the object store at once. */
-const PARALLEL_READS = 8;
+const TEXTS_PER_REQUEST = 200;
+/** Concurrent reads from the object store. */
+const CONCURRENT_READS_MAX = 8;
 
-/** A configuration as fetched. */
-interface Fetched {
+interface FetchedConfiguration {
   readonly version: number;
   readonly manifest: string;
   readonly texts: ReadonlyMap<string, string>;
 }
 
-/** Settings of a runner. */
 export interface ConfigurationRunnerOptions {
   readonly store: ConfigurationStore;
   readonly timers: TimerService;
   readonly invariants: Invariants;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** Whether this instance is one of its data centre's pollers now. */
+  /** Whether this instance polls the platform for its data centre. */
   readonly isPoller: () => boolean;
-  /** Asks a peer; undefined when it is not known, rejected when it does not answer. */
+  /** Undefined if the peer is unknown; rejects if it does not answer. */
   readonly fetchFromPeer: (
     peer: string,
     hashes: readonly string[],
@@ -42,16 +39,15 @@
   readonly onApply: (declarations: Declarations) => void;
 }
 
-/** The configuration of one instance. */
 export interface ConfigurationRunner {
-  /** A peer says that it has a version. */
+  /** Handles a configuration version announced by a peer. */
   handle(peer: string, version: number): void;
   getVersion(): number;
-  /** Answers a peer: the manifest, or the texts it names. */
+  /** Builds the response to a peer: the manifest and the requested texts that are known. */
   buildResponse(hashes: readonly string[]): FetchConfigurationResponse;
 }
 
-/** Builds a runner that starts polling at once. */
+/** Creates a runner and starts polling. */
 export function createConfigurationRunner(
   options: ConfigurationRunnerOptions,
 ): ConfigurationRunner {
@@ -65,16 +61,16 @@
     handleMessage({ kind: 'announced', version: head.val.version, source: PLATFORM_SOURCE });
   }
 
-  async function fetchFromPlatform(): Promise<Fetched | undefined> {
+  async function fetchFromPlatform(): Promise<FetchedConfiguration | undefined> {
     const head = await store.getHead();
     if (head.err || head.val === undefined) return undefined;
     const manifest = await store.getText(head.val.document.manifestHash);
     if (manifest.err) return undefined;
     const missing = keeper.listMissing(parseManifest(manifest.val));
     const texts = new Map<string, string>();
-    for (let start = 0; start < missing.length; start += PARALLEL_READS) {
-      const hashes = missing.slice(start, start + PARALLEL_READS);
-      // Batch after batch: the platform's reads are limited.
+    for (let start = 0; start < missing.length; start += CONCURRENT_READS_MAX) {
+      const hashes = missing.slice(start, start + CONCURRENT_READS_MAX);
+      // Reads in batches because the platform limits reads.
       // eslint-disable-next-line no-await-in-loop
       const loaded = await Promise.all(hashes.map((hash) => store.getText(hash)));
       loaded.forEach((text, index) => {
@@ -84,14 +80,15 @@
     return { version: head.val.version, manifest: manifest.val, texts };
   }
 
-  async function fetchFromPeer(peer: string): Promise<Fetched | undefined> {
+  async function fetchFromPeer(peer: string): Promise<FetchedConfiguration | undefined> {
     const head = await options.fetchFromPeer(peer, []);
     if (head === undefined) return undefined;
     const { version, manifest } = head;
     const missing = keeper.listMissing(parseManifest(manifest));
     const texts = new Map<string, string>();
-    for (let start = 0; start < missing.length; start += TEXTS_PER_CALL) {
-      const hashes = missing.slice(start, start + TEXTS_PER_CALL);
+    for (let start = 0; start < missing.length; start += TEXTS_PER_REQUEST) {
+      const hashes = missing.slice(start, start + TEXTS_PER_REQUEST);
+      // One request at a time, to limit the load on the peer.
       // eslint-disable-next-line no-await-in-loop
       const answer = await options.fetchFromPeer(peer, hashes);
       for (const blob of answer?.blobs ?? []) texts.set(blob.hash, blob.text);
