--- a/src/claims/attempt-ledger.ts
+++ b/src/claims/attempt-ledger.ts
@@ -18,9 +18,9 @@
 export interface AttemptLedger {
   add(attemptId: string): void;
   /** Marks a pending attempt as sent; false if it is not pending and must not be sent. */
-  take(attemptId: string): boolean;
+  markSent(attemptId: string): boolean;
   /** Marks the attempt as never to be sent; false if it was sent already. */
-  remove(attemptId: string): boolean;
+  abandon(attemptId: string): boolean;
   get(attemptId: string): AttemptState | undefined;
 }
 
@@ -30,12 +30,12 @@
     add(attemptId) {
       attempts.set(attemptId, ATTEMPT_STATE.Pending);
     },
-    take(attemptId) {
+    markSent(attemptId) {
       if (attempts.get(attemptId) !== ATTEMPT_STATE.Pending) return false;
       attempts.set(attemptId, ATTEMPT_STATE.Sent);
       return true;
     },
-    remove(attemptId) {
+    abandon(attemptId) {
       if (attempts.get(attemptId) === ATTEMPT_STATE.Sent) return false;
       attempts.set(attemptId, ATTEMPT_STATE.Abandoned);
       return true;
--- a/src/claims/claim-document.ts
+++ b/src/claims/claim-document.ts
@@ -36,7 +36,7 @@
 /** After this time the same key identifies a new request. */
 export const CLAIM_RETENTION_MS = 86_400_000;
 /** Longest answer kept for replay, in characters. */
-export const STORED_ANSWER_MAX = 65_536;
+export const STORED_ANSWER_MAX_CHARS = 65_536;
 
 /** Keys of different organisations are separate. */
 export function buildClaimKey(organisation: string, idempotencyKey: string): ItemKey {
--- a/src/claims/claim.test.ts
+++ b/src/claims/claim.test.ts
@@ -4,7 +4,7 @@
 import { createAttemptLedger } from './attempt-ledger.js';
 import type { AttemptLedger } from './attempt-ledger.js';
 import { CLAIM_SEND_WINDOW_MS, createClaim } from './claim.js';
-import type { AttemptVerdict, Claim, ClaimCommand, ReadClaim, WriteEnding } from './claim.js';
+import type { AttemptVerdict, Claim, ClaimCommand, ReadClaim, WriteResult } from './claim.js';
 import { CLAIM_RETENTION_MS, CLAIM_STATE } from './claim-document.js';
 import type { ClaimDocument } from './claim-document.js';
 
@@ -43,7 +43,7 @@
 /** How the table treats the next write. */
 type WriteFault = 'none' | 'answer_lost' | 'late' | 'never';
 
-function runWrite(item: FakeItem, fault: WriteFault, write: () => boolean): WriteEnding {
+function runWrite(item: FakeItem, fault: WriteFault, write: () => boolean): WriteResult {
   switch (fault) {
     case 'none':
       return write() ? 'written' : 'conflict';
@@ -96,14 +96,14 @@
   switch (command.kind) {
     case 'insert': {
       const result = runWrite(item, fault, () => item.applyInsert(command.document));
-      attempt.command = claim.handle({ kind: 'inserted', ending: result });
+      attempt.command = claim.handle({ kind: 'inserted', result });
       break;
     }
     case 'take_over': {
       const result = runWrite(item, fault, () =>
         item.applyReplace(command.document, command.expectedVersion),
       );
-      attempt.command = claim.handle({ kind: 'taken_over', ending: result });
+      attempt.command = claim.handle({ kind: 'taken_over', result });
       break;
     }
     case 'read':
@@ -121,13 +121,13 @@
       break;
     case 'proceed':
       // The final check before sending, as in production.
-      if (attempt.runs === 0 && attempt.ledger.take(attempt.attemptId)) attempt.runs += 1;
+      if (attempt.runs === 0 && attempt.ledger.markSent(attempt.attemptId)) attempt.runs += 1;
       break;
     default:
       break;
   }
   const isClosed = attempt.command.kind === 'refuse' || attempt.command.kind === 'replay';
-  if (isClosed) attempt.ledger.remove(attempt.attemptId);
+  if (isClosed) attempt.ledger.abandon(attempt.attemptId);
 }
 
 const faultArbitrary = fc.constantFrom<WriteFault>('none', 'answer_lost', 'late', 'never');
@@ -155,7 +155,7 @@
         for (const step of steps) {
           const attempt = attempts[step.attempt] as Attempt;
           // An abandoned attempt is never sent, unless it was sent already.
-          if (step.isAbandoning) attempt.ledger.remove(attempt.attemptId);
+          if (step.isAbandoning) attempt.ledger.abandon(attempt.attemptId);
           runStep(item, attempts, attempt, step.fault);
           if (step.isDelayedApplied) item.applyDelayed();
         }
@@ -179,7 +179,7 @@
     runStep(item, [attempt], attempt, 'none');
     t.is(attempt.command.kind, 'refuse');
     item.applyDelayed();
-    t.false(attempt.ledger.take('a0'));
+    t.false(attempt.ledger.markSent('a0'));
     const second = startAttempt('a1', createAttemptLedger());
     while (!isEnded(second.command)) runStep(item, [attempt, second], second, 'none');
     t.is(second.command.kind, 'proceed');
@@ -189,7 +189,7 @@
     function handleExistingClaim(document: Partial<ClaimDocument>, wallMs = 1): ClaimCommand {
       const claim = createClaim({ attemptId: 'mine', entry: 'entry', bodyHash: BODY });
       claim.handle({ kind: 'start', monotonicMs: 0, wallMs });
-      claim.handle({ kind: 'inserted', ending: 'conflict' });
+      claim.handle({ kind: 'inserted', result: 'conflict' });
       const full: ClaimDocument = {
         attemptId: 'theirs',
         entry: 'other',
@@ -219,7 +219,7 @@
       // respond and its silence is taken as proof that nothing was sent.
       const claim = createClaim({ attemptId: 'mine', entry: 'entry', bodyHash: BODY });
       claim.handle({ kind: 'start', monotonicMs: 0, wallMs: 0 });
-      claim.handle({ kind: 'inserted', ending: 'conflict' });
+      claim.handle({ kind: 'inserted', result: 'conflict' });
       const document: ClaimDocument = {
         attemptId: 'theirs',
         entry: 'dead',
--- a/src/claims/claim.ts
+++ b/src/claims/claim.ts
@@ -17,7 +17,7 @@
 export const CLAIM_SEND_WINDOW_MS = 60_000;
 const RETRY_AFTER_MS = 1000;
 
-export type WriteEnding = 'written' | 'conflict' | 'rejected' | 'ambiguous';
+export type WriteResult = 'written' | 'conflict' | 'rejected' | 'ambiguous';
 
 /** What another instance reports about its attempt. */
 export type AttemptVerdict = 'abandoned' | 'sent' | 'unknown';
@@ -30,11 +30,11 @@
 
 export type ClaimMessage =
   | { readonly kind: 'start'; readonly monotonicMs: number; readonly wallMs: number }
-  | { readonly kind: 'inserted'; readonly ending: WriteEnding }
+  | { readonly kind: 'inserted'; readonly result: WriteResult }
   | { readonly kind: 'read'; readonly claim: ReadClaim | undefined; readonly wallMs: number }
   | { readonly kind: 'read_failed' }
   | { readonly kind: 'answered'; readonly verdict: AttemptVerdict }
-  | { readonly kind: 'taken_over'; readonly ending: WriteEnding };
+  | { readonly kind: 'taken_over'; readonly result: WriteResult };
 
 /** Commands to the caller; `proceed`, `replay` and `refuse` end the claim. */
 export type ClaimCommand =
@@ -93,7 +93,7 @@
     return {
       kind: 'refuse',
       failure: {
-        type: FAILURE.KeyInUse,
+        type: FAILURE.IdempotencyKeyInUse,
         message:
           'a request with this Idempotency-Key was accepted before and may have run; check its effect, or ask again later for its answer',
         outcome: OUTCOME.MayHaveRun,
@@ -119,7 +119,7 @@
       return {
         kind: 'refuse',
         failure: {
-          type: FAILURE.KeyReused,
+          type: FAILURE.IdempotencyKeyReused,
           message:
             'this Idempotency-Key was used with another body; this request was not run; use a new key for it',
           outcome: OUTCOME.NotRun,
@@ -156,7 +156,7 @@
   }
 
   function handleWrite(
-    result: WriteEnding,
+    result: WriteResult,
     write: NonNullable<typeof ambiguousWrite>,
   ): ClaimCommand {
     switch (result) {
@@ -183,9 +183,9 @@
           startedWallMs = message.wallMs;
           return { kind: 'insert', document: buildDocument(CLAIM_STATE.Claimed) };
         case 'inserted':
-          return handleWrite(message.ending, { kind: 'insert' });
+          return handleWrite(message.result, { kind: 'insert' });
         case 'taken_over':
-          return handleWrite(message.ending, {
+          return handleWrite(message.result, {
             kind: 'take_over',
             version: existingClaim?.version ?? 0,
           });
--- a/src/cli/ctl-main.ts
+++ b/src/cli/ctl-main.ts
@@ -11,7 +11,7 @@
 import type { PublishError, PublishRequest } from '../configuration/publish.js';
 import { readFolder } from '../configuration/read-folder.js';
 import type { ConfigurationStore } from '../configuration/store.js';
-import { listStory } from '../observability/explain.js';
+import { listRequestHistory } from '../observability/explain.js';
 import { hashText } from '../utils/hash.js';
 import { EXIT_CODE, createCommandLine, listArguments, runMain } from './command-line.js';
 import type { ExitCode } from './command-line.js';
@@ -54,7 +54,7 @@
 
 function runExplain(requestId: string, files: readonly string[], isJson: boolean): void {
   const lines = files.flatMap((file) => readFileSync(file, 'utf8').split('\n'));
-  const history = listStory(requestId, lines);
+  const history = listRequestHistory(requestId, lines);
   if (history.length === 0) exitCode = EXIT_CODE.Failed;
   const notFoundMessage = `no log line mentions request ${requestId}; check lines_left_out and the logs of other instances`;
   print(isJson, history, history.length === 0 ? notFoundMessage : history.join('\n'));
--- a/src/configuration/keeper.ts
+++ b/src/configuration/configuration-sync.ts
@@ -26,7 +26,7 @@
 const SOURCES_MAX = 8;
 
 /** Input of the state machine. */
-export type KeeperMessage =
+export type ConfigurationSyncMessage =
   | { readonly kind: 'announced'; readonly version: number; readonly source: string }
   | {
       readonly kind: 'fetched';
@@ -38,14 +38,14 @@
   | { readonly kind: 'tick'; readonly isPoller: boolean };
 
 /** An action for the caller to carry out. */
-export type KeeperCommand =
+export type ConfigurationSyncCommand =
   | { readonly kind: 'poll' }
   | { readonly kind: 'fetch'; readonly version: number; readonly source: string }
   | { readonly kind: 'apply'; readonly declarations: Declarations }
   | { readonly kind: 'reject'; readonly version: number; readonly reason: string };
 
-export interface ConfigurationKeeper {
-  handle(message: KeeperMessage, nowMs: number): KeeperCommand[];
+export interface ConfigurationSync {
+  handle(message: ConfigurationSyncMessage, nowMs: number): ConfigurationSyncCommand[];
   /** The current version; 0 if none has been applied yet. */
   getVersion(): number;
   getManifestText(): string;
@@ -55,7 +55,7 @@
   listMissing(manifest: Manifest): string[];
 }
 
-export function createConfigurationKeeper(invariants: Invariants): ConfigurationKeeper {
+export function createConfigurationSync(invariants: Invariants): ConfigurationSync {
   const compiler = createCompiler();
   let texts = new Map<string, string>();
   let version = 0;
@@ -63,7 +63,7 @@
   let lastPollMs = -Infinity;
   let pendingFetch: { version: number; source: string; startedMs: number } | undefined;
   let sources: { version: number; source: string }[] = [];
-  let commands: KeeperCommand[] = [];
+  let commands: ConfigurationSyncCommand[] = [];
 
   function startFetch(nowMs: number): void {
     const isFetching =
@@ -94,7 +94,7 @@
     commands.push({ kind: 'reject', version: refusedVersion, reason });
   }
 
-  function handleFetched(message: Extract<KeeperMessage, { kind: 'fetched' }>): void {
+  function handleFetched(message: Extract<ConfigurationSyncMessage, { kind: 'fetched' }>): void {
     pendingFetch = undefined;
     if (message.version <= version) return;
     const manifest = parseManifest(message.manifest);
@@ -137,7 +137,7 @@
     startFetch(nowMs);
   }
 
-  function applyMessage(message: KeeperMessage, nowMs: number): void {
+  function applyMessage(message: ConfigurationSyncMessage, nowMs: number): void {
     switch (message.kind) {
       case 'announced':
         handleAnnounced(message.version, message.source, nowMs);
--- a/src/configuration/configuration.test.ts
+++ b/src/configuration/configuration.test.ts
@@ -6,7 +6,7 @@
 import { Err, Ok } from '../utils/result.js';
 import { createCompiler } from './compile-files.js';
 import { formatDeclarationError } from './declaration-error.js';
-import { createConfigurationKeeper } from './keeper.js';
+import { createConfigurationSync } from './configuration-sync.js';
 import { buildManifest, encodeManifest } from './manifest.js';
 import { formatPublishError, publishFiles } from './publish.js';
 import type { PublishRequest } from './publish.js';
@@ -192,7 +192,7 @@
         maxLength: 40,
       }),
       (steps) => {
-        const keeper = createConfigurationKeeper(
+        const sync = createConfigurationSync(
           createInvariants((breach) => {
             throw new Error(breach.detail);
           }),
@@ -202,12 +202,12 @@
           const files = new Map([['00.yaml', `${BASE}# ${version}\n`]]);
           const manifest = encodeManifest(buildManifest(files));
           const texts = new Map([...files.values()].map((text) => [hashText(text), text]));
-          const before = keeper.getVersion();
+          const before = sync.getVersion();
           if (isFetched) {
-            keeper.handle({ kind: 'fetched', version, manifest, texts }, index);
+            sync.handle({ kind: 'fetched', version, manifest, texts }, index);
             highest = Math.max(highest, version);
-          } else keeper.handle({ kind: 'announced', version, source: 'peer' }, index);
-          return keeper.getVersion() >= before && keeper.getVersion() === highest;
+          } else sync.handle({ kind: 'announced', version, source: 'peer' }, index);
+          return sync.getVersion() >= before && sync.getVersion() === highest;
         });
       },
     );
@@ -215,11 +215,11 @@
   });
 
   it('rejects a file that does not match its hash', (t) => {
-    const keeper = createConfigurationKeeper(createInvariants(() => undefined));
+    const sync = createConfigurationSync(createInvariants(() => undefined));
     const manifest = encodeManifest(buildManifest(new Map([['00.yaml', BASE]])));
     const texts = new Map([[hashText(BASE), `${BASE}# forged`]]);
-    const commands = keeper.handle({ kind: 'fetched', version: 1, manifest, texts }, 0);
+    const commands = sync.handle({ kind: 'fetched', version: 1, manifest, texts }, 0);
     t.is(commands[0]?.kind, 'reject');
-    t.is(keeper.getVersion(), 0);
+    t.is(sync.getVersion(), 0);
   });
 });
--- a/src/duties/pool-scaler.test.ts
+++ b/src/duties/pool-scaler.test.ts
@@ -1,11 +1,11 @@
-import type { ScalingBounds } from '../types/traffic.js';
+import type { ScalingLimits } from '../types/traffic.js';
 import { describe } from '../test/describe.js';
 import type { DutyOutcome, ScaleRequest } from './duty-calls.js';
 import type { DutyChange, DutyRow, DutyWriteResult } from './duty-store.js';
 import { createPoolScaler } from './pool-scaler.js';
 import type { ScalerMessage, PoolLoad } from './pool-scaler.js';
 
-const SCALING: ScalingBounds = {
+const SCALING: ScalingLimits = {
   dataCentres: ['a', 'b'],
   min: 1,
   max: 40,
--- a/src/duties/pool-scaler.ts
+++ b/src/duties/pool-scaler.ts
@@ -3,7 +3,7 @@
  * that were not accepted. Performs no I/O.
  */
 import { z } from 'zod';
-import type { ScalingBounds } from '../types/traffic.js';
+import type { ScalingLimits } from '../types/traffic.js';
 import { assertNever } from '../utils/assert-never.js';
 import { DUTY_OUTCOME } from './duty-calls.js';
 import type { DutyOutcome, ScaleRequest } from './duty-calls.js';
@@ -30,7 +30,7 @@
 /** Load and running endpoints of a pool. */
 export interface PoolLoad {
   readonly pool: string;
-  readonly scaling: ScalingBounds;
+  readonly scaling: ScalingLimits;
   readonly running: readonly RunningCount[];
   readonly backlogMs: number;
   readonly targetMs: number;
--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
-import type { ScalingBounds } from '../types/traffic.js';
+import type { ScalingLimits } from '../types/traffic.js';
 import { describe } from '../test/describe.js';
 import { computeDesired } from './pool-sizing.js';
 import type { RunningCount, SizingInput } from './pool-sizing.js';
 
-const SCALING: ScalingBounds = {
+const SCALING: ScalingLimits = {
   dataCentres: ['a', 'b', 'c'],
   min: 1,
   max: 28,
--- a/src/duties/pool-sizing.ts
+++ b/src/duties/pool-sizing.ts
@@ -5,7 +5,7 @@
  * load peaks. The pool therefore keeps headroom in cheaper spot capacity, enough to lose that of
  * any one data centre.
  */
-import type { ScalingBounds } from '../types/traffic.js';
+import type { ScalingLimits } from '../types/traffic.js';
 
 /** Size of the pool relative to its baseline. */
 const HEADROOM_FACTOR = 4 / 3;
@@ -34,7 +34,7 @@
 }
 
 export interface SizingInput {
-  readonly scaling: ScalingBounds;
+  readonly scaling: ScalingLimits;
   readonly running: readonly RunningCount[];
   /** Minimum number of endpoints: the count before the first request. */
   readonly baseline: number;
@@ -46,7 +46,7 @@
   readonly targetMs: number;
 }
 
-function isSpotCheaper({ spotPrice }: ScalingBounds): boolean {
+function isSpotCheaper({ spotPrice }: ScalingLimits): boolean {
   return spotPrice !== undefined && spotPrice < 1;
 }
 
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -14,7 +14,7 @@
 import type { FeedReader } from '../knowledge/feed.js';
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
 import type { TimerService } from '../runtime/timer-service.js';
-import type { ScalingBounds, TrafficConfiguration, TrafficPool } from '../types/traffic.js';
+import type { ScalingLimits, TrafficConfiguration, TrafficPool } from '../types/traffic.js';
 import type { Random } from '../utils/random.js';
 import type { PeerExchange } from './peer-exchange.js';
 
@@ -85,7 +85,7 @@
     countInstances: () => peers.countInstances(),
   });
 
-  function listPresent(pool: string, scaling: ScalingBounds): RunningCount[] {
+  function listPresent(pool: string, scaling: ScalingLimits): RunningCount[] {
     const endpoints = directory.listAll().filter((endpoint) => endpoint.pool === pool);
     const present = new Map<string, { lasting: number; spot: number }>();
     const names = [...scaling.dataCentres, ...endpoints.map(({ dataCentre }) => dataCentre)];
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -20,7 +20,7 @@
 import type { DecisionLog } from '../observability/decision-log.js';
 import type { Datagrams } from '../peers/datagrams.js';
 import type { PeerLinks } from '../peers/peer-links.js';
-import type { PeerTelling } from '../peers/peer-telling.js';
+import type { PeerStatus } from '../peers/peer-status.js';
 import { createEndpointLoads } from '../placement/endpoint-loads.js';
 import { hashStartId } from '../placement/remote-loads.js';
 import type { EndpointKey } from '../placement/remote-loads.js';
@@ -112,7 +112,7 @@
   leave(): void;
   getConfiguration(): TrafficConfiguration | undefined;
   getKnowledgeState(): KnowledgeState;
-  handlePeerStatus(status: PeerTelling): void;
+  handlePeerStatus(status: PeerStatus): void;
   handleCases(from: string, cases: readonly CaseReport[]): void;
   handleMessages(from: string, bodies: readonly PeerMessage['body'][]): void;
   handleUsage(usage: UsageUpdate): void;
--- a/src/gateway/knowledge-store.test.ts
+++ b/src/gateway/knowledge-store.test.ts
@@ -1,24 +1,24 @@
 import { describe } from '../test/describe.js';
-import type { FeedAnswer, FeedReader, FeedRow } from '../knowledge/feed.js';
+import type { FeedResponse, FeedReader, FeedRow } from '../knowledge/feed.js';
 import { createSystemClock } from '../runtime/clock.js';
 import { createTimerService } from '../runtime/timer-service.js';
 import type { RegisteredEndpoint, TrafficConfiguration } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
-import type { WatchDuty } from '../knowledge/watch-duty.js';
+import type { WatchRole } from '../knowledge/watch-role.js';
 import { createKnowledgeStore } from './knowledge-store.js';
 import type { KnowledgeStore, RowDecoder } from './knowledge-store.js';
 
-const NEVER = new Promise<FeedAnswer>(() => {
+const NEVER = new Promise<FeedResponse>(() => {
   // Never resolves.
 });
 
-const WATCH: WatchDuty = {
+const WATCH: WatchRole = {
   kind: 'watch',
   isListed: true,
   isLeading: true,
   pauseFactor: 1,
 };
-const FOLLOW: WatchDuty = { kind: 'follow' };
+const FOLLOW: WatchRole = { kind: 'follow' };
 
 const DECODER: RowDecoder = {
   decodeConfiguration(row): TrafficConfiguration | undefined {
@@ -48,9 +48,9 @@
 function createTable(rows: readonly FeedRow[]) {
   let revision = 5;
   let calls = 0;
-  let resolveWatch: ((answer: FeedAnswer) => void) | undefined;
+  let resolveWatch: ((answer: FeedResponse) => void) | undefined;
   let isWatchAnswered = true;
-  const buildAnswer = (changed: readonly FeedRow[]): FeedAnswer => ({
+  const buildAnswer = (changed: readonly FeedRow[]): FeedResponse => ({
     kind: 'rows',
     rows: changed,
     revision,
--- a/src/gateway/knowledge-store.ts
+++ b/src/gateway/knowledge-store.ts
@@ -6,15 +6,15 @@
 import { createEndpointDirectory } from '../directory/endpoint-directory.js';
 import type { DirectoryMessage, EndpointDirectory } from '../directory/endpoint-directory.js';
 import type { FetchKnowledgeRequest, FetchKnowledgeResponse } from '../gen/peer_pb.js';
-import { createBehindDetector } from '../knowledge/behind-detector.js';
+import { createFeedLagDetector } from '../knowledge/feed-lag-detector.js';
 import { createConfigurationKnowledge } from '../knowledge/configuration-knowledge.js';
 import type { FeedReader, FeedRow } from '../knowledge/feed.js';
 import { startFeedWatcher } from '../knowledge/feed-watcher.js';
-import type { AnswerTimes } from '../knowledge/feed-watcher.js';
+import type { ResponseMetadata } from '../knowledge/feed-watcher.js';
 import { createSourceClock } from '../knowledge/source-clock.js';
 import { createSuspensionDetector } from '../knowledge/suspension-detector.js';
 import { createTableMirror } from '../knowledge/table-mirror.js';
-import type { WatchDuty } from '../knowledge/watch-duty.js';
+import type { WatchRole } from '../knowledge/watch-role.js';
 import { decodeRows, encodeTable } from '../peers/encode-table.js';
 import type { KnowledgeSummary } from '../peers/peer-links.js';
 import type { DecisionLog } from '../observability/decision-log.js';
@@ -63,7 +63,7 @@
   /** Applies a peer's response to a request that was sent at `sentMs`. */
   applyResponse(peer: string, response: FetchKnowledgeResponse, sentMs: number): void;
   /** Sets whether this instance watches the source itself; by default it relies on peers. */
-  setDuty(duty: WatchDuty): void;
+  setDuty(duty: WatchRole): void;
   stop(): void;
 }
 
@@ -75,10 +75,10 @@
   const directory = createEndpointDirectory();
   const configurationRows = createTableMirror();
   const endpointRows = createTableMirror();
-  const behindDetector = createBehindDetector();
+  const behindDetector = createFeedLagDetector();
   let trustedSinceMs = -Infinity;
   let isSourceLost = false;
-  let duty: WatchDuty = { kind: 'follow' };
+  let duty: WatchRole = { kind: 'follow' };
   const getNow = (): number => timers.clock.monotonicMs();
 
   /** Invalidates confirmations after a suspension, since its duration is unknown. */
@@ -144,7 +144,7 @@
     recordConfiguration(rows, -Infinity, 'source');
   }
 
-  function handleConfigurationAnswer(rows: readonly FeedRow[], times: AnswerTimes): void {
+  function handleConfigurationAnswer(rows: readonly FeedRow[], times: ResponseMetadata): void {
     handleSourceAnswer('configuration');
     // An answer to a request sent before a suspension confirms nothing.
     if (times.sentMs < trustedSinceMs) return;
@@ -181,7 +181,7 @@
    * Guards against reverting to older rows when the feed resumes at a revision before the one received from
    * peers, which would send calls to an endpoint that is leaving or to its previous start.
    */
-  function isBehindPeers({ revision }: AnswerTimes): boolean {
+  function isBehindPeers({ revision }: ResponseMetadata): boolean {
     return revision < endpointRows.getContentRevision();
   }
 
@@ -279,7 +279,10 @@
     if (table.isComplete && !table.hasRows) return;
     applyDirectory({ kind: 'renewing', forMs: renewalLeftMs }, peer);
     const rows = decodeRows(table.rows);
-    endpointRows.applyTold({ kind: table.isComplete ? 'all' : 'changed', rows }, table.revision);
+    endpointRows.applyFromPeer(
+      { kind: table.isComplete ? 'all' : 'changed', rows },
+      table.revision,
+    );
     if (table.isComplete) handleEndpointList(rows, peer);
     else handleEndpointRows(rows, peer);
   }
@@ -292,8 +295,8 @@
   }
 
   function checkBehind(endpointsRevision: number): void {
-    if (duty.kind === 'follow') behindDetector.stop();
-    else if (behindDetector.checkBehind(endpointsRevision, endpointRows.getRevision(), getNow())) {
+    if (duty.kind === 'follow') behindDetector.reset();
+    else if (behindDetector.checkLag(endpointsRevision, endpointRows.getRevision(), getNow())) {
       endpointWatcher.restart();
     }
   }
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -4,7 +4,7 @@
  */
 import type { FleetTime } from '../duties/true-time.js';
 import type { UsageUpdate } from '../duties/usage-meter.js';
-import { createWatchDuty, listWatchers } from '../knowledge/watch-duty.js';
+import { createWatchRoleSelector, listWatchers } from '../knowledge/watch-role.js';
 import { LOAD_UPDATE_PERIOD_MS, createLoadExchange } from '../load-sharing/load-exchange.js';
 import type { AddressedLoadUpdate } from '../load-sharing/load-update.js';
 import type { EndpointLoads } from '../placement/endpoint-loads.js';
@@ -16,7 +16,7 @@
 import type { DecisionLog } from '../observability/decision-log.js';
 import type { Datagrams } from '../peers/datagrams.js';
 import type { PeerLinks } from '../peers/peer-links.js';
-import type { PeerTelling } from '../peers/peer-telling.js';
+import type { PeerStatus } from '../peers/peer-status.js';
 import type { CaseReport } from '../quarantine/case-ledger.js';
 import type { Quarantine } from '../quarantine/quarantine.js';
 import type { Invariants } from '../runtime/invariants.js';
@@ -58,7 +58,7 @@
 }
 
 export interface PeerExchange {
-  handlePeerStatus(status: PeerTelling): void;
+  handlePeerStatus(status: PeerStatus): void;
   handleCases(from: string, cases: readonly CaseReport[]): void;
   handleMessages(from: string, bodies: readonly PeerMessage['body'][]): void;
   recordUnreachable(address: string): void;
@@ -83,7 +83,7 @@
   const { self, timers, random, log, links, loads, knowledge, seeds } = options;
   const getNow = (): number => timers.clock.monotonicMs();
   const reachability = createReachability(self.dataCentre);
-  const watchDuty = createWatchDuty(getNow());
+  const watchDuty = createWatchRoleSelector(getNow());
   const hasContacts = seeds.length > 0 && !seeds.includes(self.address);
   let isListed = false;
   let unreachableDataCentres: ReadonlySet<string> = new Set();
@@ -106,12 +106,12 @@
     timers,
     instances: options.instances,
     // Only watchers are listed; other instances are found through them.
-    usesList: () => isListed,
+    usesInstanceList: () => isListed,
     seeds,
     isLeaving: options.isLeaving,
     tickMs: MEMBERSHIP_TICK_MS,
     send: sendGossip,
-    onChanged(fact, previous) {
+    onFactChanged(fact, previous) {
       if (previous?.state === fact.state) return;
       log.write({ event: 'peer_changed', peer: fact.subject, state: FactState[fact.state] });
     },
@@ -161,15 +161,15 @@
   /** Cached, since it iterates over all instances and is read for each placement. */
   function updateUnreachable(): void {
     const nowMs = getNow();
-    const dataCentres = new Set(fleet.listPresent().map((fact) => fact.dataCentre));
+    const dataCentres = new Set(fleet.listNotLeaving().map((fact) => fact.dataCentre));
     unreachableDataCentres = new Set(
-      [...dataCentres].filter((name) => reachability.isCut(name, nowMs)),
+      [...dataCentres].filter((name) => reachability.isDataCentreUnreachable(name, nowMs)),
     );
   }
 
   /** Sends quarantine cases to the recipients of the loads, so that they spread as fast. */
-  function sendCases(tellings: readonly AddressedLoadUpdate[]): void {
-    const addresses = [...new Set(tellings.flatMap((telling) => telling.addresses))];
+  function sendCases(updates: readonly AddressedLoadUpdate[]): void {
+    const addresses = [...new Set(updates.flatMap((update) => update.addresses))];
     if (addresses.length === 0) return;
     const cases = options.quarantine.takeTold();
     if (cases.length > 0) options.datagrams.sendCases(addresses, cases);
@@ -202,10 +202,10 @@
   timers.subscribe(LOAD_UPDATE_PERIOD_MS, () => {
     updateUnreachable();
     const summary = knowledge.getSummary();
-    const tellings = loadExchange.advance(getNow());
+    const updates = loadExchange.advance(getNow());
     const time = options.time.buildPeerTime(getNow());
-    for (const telling of tellings) options.datagrams.sendLoads(telling, summary, time);
-    sendCases(tellings);
+    for (const update of updates) options.datagrams.sendLoads(update, summary, time);
+    sendCases(updates);
   });
   timers.subscribe(WATCH_DUTY_PERIOD_MS, () => {
     advanceWatchDuty();
@@ -253,6 +253,6 @@
     },
     countInstances: () => fleet.listAlive().length,
     leave: () => fleet.leave(),
-    left: () => fleet.left(),
+    left: () => fleet.announceLeft(),
   };
 }
--- a/src/knowledge/behind-detector.ts
+++ b/src/knowledge/feed-lag-detector.ts
@@ -6,17 +6,17 @@
 /** Well above the tens of milliseconds within which all watchers receive a change. */
 const FEED_LAG_MAX_MS = 700;
 
-export interface BehindDetector {
+export interface FeedLagDetector {
   /** Compares the own revision with a peer's; true once the own feed has lagged for too long. */
-  checkBehind(peerRevision: number, ownRevision: number, nowMs: number): boolean;
+  checkLag(peerRevision: number, ownRevision: number, nowMs: number): boolean;
   /** Discards the state while the own feed is not in use. */
-  stop(): void;
+  reset(): void;
 }
 
-export function createBehindDetector(): BehindDetector {
+export function createFeedLagDetector(): FeedLagDetector {
   let laggingSinceMs: number | undefined;
   return {
-    checkBehind(peerRevision, ownRevision, nowMs) {
+    checkLag(peerRevision, ownRevision, nowMs) {
       if (peerRevision <= ownRevision) {
         laggingSinceMs = undefined;
         return false;
@@ -26,7 +26,7 @@
       laggingSinceMs = undefined;
       return true;
     },
-    stop() {
+    reset() {
       laggingSinceMs = undefined;
     },
   };
--- a/src/knowledge/feed-watcher.test.ts
+++ b/src/knowledge/feed-watcher.test.ts
@@ -2,27 +2,27 @@
 import { createTimerService } from '../runtime/timer-service.js';
 import { createSystemClock } from '../runtime/clock.js';
 import { createRandom } from '../utils/random.js';
-import type { FeedAnswer, FeedReader } from './feed.js';
+import type { FeedResponse, FeedReader } from './feed.js';
 import { startFeedWatcher } from './feed-watcher.js';
 
-const NEVER = new Promise<FeedAnswer>(() => {
+const NEVER = new Promise<FeedResponse>(() => {
   // Never settles: no scripted response is left.
 });
 
 type Call = { readonly kind: 'list' } | { readonly kind: 'watch'; readonly waitMs: number };
 
-function buildRows(revision: number, key = 'k'): FeedAnswer {
+function buildRows(revision: number, key = 'k'): FeedResponse {
   return { kind: 'rows', rows: [{ key, value: 'v' }], revision, sourceNowMs: 1, sentMs: 1 };
 }
 
 /** Runs a watcher on scripted responses until they are used up. */
-async function runWatcher(responses: readonly FeedAnswer[]) {
+async function runWatcher(responses: readonly FeedResponse[]) {
   const calls: Call[] = [];
   const events: string[] = [];
   let resets = 0;
   const timers = createTimerService(createSystemClock());
   const done = new Promise<void>((resolve) => {
-    const takeNextResponse = async (call: Call): Promise<FeedAnswer> => {
+    const takeNextResponse = async (call: Call): Promise<FeedResponse> => {
       const next = responses[calls.length];
       calls.push(call);
       if (next !== undefined) return next;
--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -4,7 +4,7 @@
  */
 import type { TimerService } from '../runtime/timer-service.js';
 import type { Random } from '../utils/random.js';
-import type { FeedAnswer, FeedReader, FeedRow } from './feed.js';
+import type { FeedResponse, FeedReader, FeedRow } from './feed.js';
 
 /** Bounds of the backoff after a failed call. */
 const RETRY_MIN_MS = 100;
@@ -15,14 +15,14 @@
    * All rows; a row that is missing does not exist. A list may be seconds behind the source: only
    * the response to the watch after it confirms that nothing newer exists.
    */
-  onListed(rows: readonly FeedRow[], response: AnswerTimes): void;
+  onListed(rows: readonly FeedRow[], response: ResponseMetadata): void;
   /** Changed rows; empty if the call only confirmed that nothing changed. */
-  onChanged(rows: readonly FeedRow[], response: AnswerTimes): void;
+  onChanged(rows: readonly FeedRow[], response: ResponseMetadata): void;
   onLost(reason: string): void;
 }
 
 /** Revision and times of a response. */
-export interface AnswerTimes {
+export interface ResponseMetadata {
   readonly revision: number;
   readonly sourceNowMs: number;
   readonly sentMs: number;
@@ -78,7 +78,7 @@
     return pauseMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
   }
 
-  function handleRows(response: Extract<FeedAnswer, { kind: 'rows' }>): void {
+  function handleRows(response: Extract<FeedResponse, { kind: 'rows' }>): void {
     failures = 0;
     // Guards against stale lists, which would bring back removed rows.
     if (response.revision < highestRevision) return;
@@ -91,7 +91,7 @@
     else listener.onChanged(response.rows, response);
   }
 
-  function handleResponse(response: FeedAnswer): number {
+  function handleResponse(response: FeedResponse): number {
     switch (response.kind) {
       case 'rows':
         handleRows(response);
@@ -112,7 +112,7 @@
     }
   }
 
-  async function fetchNext(): Promise<FeedAnswer> {
+  async function fetchNext(): Promise<FeedResponse> {
     if (revision === undefined) return reader.list();
     // The first watch after a list, failure or restart returns at once, to confirm the rows early.
     return reader.watch(revision, isConfirmed ? options.getWaitMs() : 0);
--- a/src/knowledge/feed.ts
+++ b/src/knowledge/feed.ts
@@ -9,7 +9,7 @@
 }
 
 /** A response to a list or watch call. */
-export type FeedAnswer =
+export type FeedResponse =
   | {
       readonly kind: 'rows';
       readonly rows: readonly FeedRow[];
@@ -28,12 +28,12 @@
 /** Reads one table of the source. */
 export interface FeedReader {
   /** All rows at one revision. */
-  list(): Promise<FeedAnswer>;
+  list(): Promise<FeedResponse>;
   /**
    * Changes after a revision; returns at the first change or after `waitMs` milliseconds without
    * one.
    */
-  watch(revision: number, waitMs: number): Promise<FeedAnswer>;
+  watch(revision: number, waitMs: number): Promise<FeedResponse>;
   /** Aborts calls in progress and closes their connection. */
   reset(): void;
 }
--- a/src/knowledge/table-mirror.test.ts
+++ b/src/knowledge/table-mirror.test.ts
@@ -12,7 +12,7 @@
 function applyChanges(follower: TableMirror, watcher: TableMirror): void {
   const revision = watcher.getContentRevision();
   if (revision <= follower.getContentRevision()) return;
-  follower.applyTold(watcher.listSince(follower.getContentRevision()), revision);
+  follower.applyFromPeer(watcher.listSince(follower.getContentRevision()), revision);
 }
 
 describe('table mirror', ({ it }) => {
--- a/src/knowledge/table-mirror.ts
+++ b/src/knowledge/table-mirror.ts
@@ -24,7 +24,7 @@
   /** Applies all changes up to a revision. */
   apply(rows: readonly FeedRow[], revision: number): void;
   /** Applies changes from a peer whose rows last changed at a revision. */
-  applyTold(changes: MirrorChanges, contentRevision: number): void;
+  applyFromPeer(changes: MirrorChanges, contentRevision: number): void;
   /** All changes up to this revision are included; 0 before the first list. */
   getRevision(): number;
   /** Revision of the last change to any row. */
@@ -93,7 +93,7 @@
   return {
     setAll,
     apply,
-    applyTold(changes, revision) {
+    applyFromPeer(changes, revision) {
       if (changes.kind === 'all') setAll(changes.rows, revision);
       else apply(changes.rows, revision);
       contentRevision = Math.max(contentRevision, revision);
--- a/src/knowledge/watch-duty.test.ts
+++ b/src/knowledge/watch-role.test.ts
@@ -1,6 +1,6 @@
 import { describe } from '../test/describe.js';
-import { LEADING_WATCHERS, WATCHERS_MIN, createWatchDuty } from './watch-duty.js';
-import type { WatchCandidate, WatchDuty } from './watch-duty.js';
+import { LEADING_WATCHERS, WATCHERS_MIN, createWatchRoleSelector } from './watch-role.js';
+import type { WatchCandidate, WatchRole } from './watch-role.js';
 
 /** A fleet whose instances are assigned to data centres in turn. */
 function buildFleet(instances: number, dataCentres: number): WatchCandidate[] {
@@ -18,9 +18,9 @@
   self: string,
   alive: readonly WatchCandidate[],
   knowledgeAgeMs = 500,
-): WatchDuty {
+): WatchRole {
   const input = { self, alive, knowledgeAgeMs, hasContacts: true };
-  return createWatchDuty(0).advance(input, UPTIME_MS);
+  return createWatchRoleSelector(0).advance(input, UPTIME_MS);
 }
 
 function listWatching(alive: readonly WatchCandidate[], knowledgeAgeMs?: number): string[] {
@@ -69,7 +69,7 @@
   // them the time.
   it('does not add watchers at once when clocks jump', (t) => {
     const self = FLEET.find(({ name }) => computeRole(name, FLEET).kind === 'follow')?.name ?? '';
-    const selector = createWatchDuty(0);
+    const selector = createWatchRoleSelector(0);
     const advance = (knowledgeAgeMs: number, nowMs: number): string =>
       selector.advance({ self, alive: FLEET, knowledgeAgeMs, hasContacts: true }, nowMs).kind;
     t.is(advance(500, 20_000), 'follow');
@@ -80,7 +80,7 @@
 
   it('keeps watching for a while after it is no longer needed', (t) => {
     const self = FLEET.find(({ name }) => computeRole(name, FLEET).kind === 'follow')?.name ?? '';
-    const selector = createWatchDuty(0);
+    const selector = createWatchRoleSelector(0);
     const advance = (knowledgeAgeMs: number, nowMs: number): string =>
       selector.advance({ self, alive: FLEET, knowledgeAgeMs, hasContacts: true }, nowMs).kind;
     t.is(advance(500, 6000), 'follow');
@@ -92,7 +92,7 @@
   // Guards against every instance watching when a whole fleet starts and nobody knows the others
   // yet.
   it('follows peers at the start if it knows addresses of others', (t) => {
-    const selector = createWatchDuty(0);
+    const selector = createWatchRoleSelector(0);
     const alone = buildFleet(1, 1);
     const advance = (knowledgeAgeMs: number, hasContacts: boolean, nowMs: number): string =>
       selector.advance({ self: 'front-0', alive: alone, knowledgeAgeMs, hasContacts }, nowMs).kind;
@@ -101,7 +101,7 @@
     t.is(advance(300, true, 3000), 'follow');
     t.is(advance(Infinity, true, 1600), 'watch');
     t.is(
-      createWatchDuty(0).advance(
+      createWatchRoleSelector(0).advance(
         { self: 'a', alive: [], knowledgeAgeMs: Infinity, hasContacts: false },
         0,
       ).kind,
--- a/src/knowledge/watch-duty.ts
+++ b/src/knowledge/watch-role.ts
@@ -32,7 +32,7 @@
   readonly dataCentre: string;
 }
 
-export interface WatchDutyInput {
+export interface WatchRoleInput {
   readonly self: string;
   /** Reachable live instances, including this one. */
   readonly alive: readonly WatchCandidate[];
@@ -42,7 +42,7 @@
   readonly hasContacts: boolean;
 }
 
-export type WatchDuty =
+export type WatchRole =
   | {
       readonly kind: 'watch';
       /** Whether others discover the fleet through this instance's entry in the platform's list. */
@@ -57,8 +57,8 @@
     }
   | { readonly kind: 'follow' };
 
-export interface WatchDutyKeeper {
-  advance(input: WatchDutyInput, nowMs: number): WatchDuty;
+export interface WatchRoleSelector {
+  advance(input: WatchRoleInput, nowMs: number): WatchRole;
 }
 
 /** All instances by preference for watching: the first of each data centre, then the rest. */
@@ -96,7 +96,7 @@
   return periods < 0 ? 1 : 2 ** (1 + Math.floor(periods));
 }
 
-export function createWatchDuty(startedMs: number): WatchDutyKeeper {
+export function createWatchRoleSelector(startedMs: number): WatchRoleSelector {
   let lastNeededMs = -Infinity;
   /** Start of the time without a known age: the process's start or a clock jump. */
   let unknownSinceMs = startedMs;
--- a/src/leases/lease.test.ts
+++ b/src/leases/lease.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
-import { ORDER_FLIGHT_MS, ORDER_LEASE } from '../orders/order-lease.js';
+import { ORDER_TIMEOUT_MS, ORDER_LEASE } from '../orders/order-lease.js';
 import { createLease } from './lease.js';
 import type { Lease, LeaseCommand, ClockReading, WriteResult } from './lease.js';
 import type { VersionedLease } from './lease-document.js';
@@ -49,7 +49,7 @@
     ] as const),
   ),
   isResponseLost: fc.integer({ min: 0, max: 5 }).map((draw) => draw === 0),
-  latencyMs: fc.integer({ min: 0, max: ORDER_FLIGHT_MS - STEP_MS }),
+  latencyMs: fc.integer({ min: 0, max: ORDER_TIMEOUT_MS - STEP_MS }),
 });
 
 /** An order on its way to an engine that does not check fencing tokens. */
@@ -170,7 +170,7 @@
     // Guards against an order that a partitioned holder sent last and that arrives after its
     // successor's.
     const stepsBeforeExpiry = (ORDER_LEASE.durationMs - 1000) / STEP_MS;
-    const maxLatencyMs = ORDER_FLIGHT_MS - STEP_MS;
+    const maxLatencyMs = ORDER_TIMEOUT_MS - STEP_MS;
     const cutOffStep: Step[] = [
       { holder: 0, action: 'cut_off', isResponseLost: false, latencyMs: maxLatencyMs },
     ];
--- a/src/membership/membership-messages.ts
+++ b/src/membership/membership-messages.ts
@@ -1,9 +1,12 @@
 /** Input messages and output commands of the membership state machine. */
 import type { DemandShare, Fact, PeerMessage } from '../gen/peer_pb.js';
-import type { PeerBody } from '../types/peer-messages.js';
+import type { PeerMessageBody } from '../types/peer-messages.js';
 
 /** The peer messages that carry gossip. */
-export type GossipBody = Extract<PeerBody, { case: 'ping' | 'pingRequest' | 'ack' | 'syncFacts' }>;
+export type GossipBody = Extract<
+  PeerMessageBody,
+  { case: 'ping' | 'pingRequest' | 'ack' | 'syncFacts' }
+>;
 
 /** An address to probe that may not belong to a member yet. */
 export interface Contact {
--- a/src/membership/reachability.ts
+++ b/src/membership/reachability.ts
@@ -12,7 +12,7 @@
   /** An instance of the data centre was heard, directly or through a peer. */
   recordHeard(dataCentre: string, nowMs: number): void;
   /** Whether none of its instances is heard while others of the own data centre are. */
-  isCut(dataCentre: string, nowMs: number): boolean;
+  isDataCentreUnreachable(dataCentre: string, nowMs: number): boolean;
 }
 
 export function createReachability(ownDataCentre: string): Reachability {
@@ -26,7 +26,7 @@
     recordHeard(dataCentre, nowMs) {
       lastHeardMs.set(dataCentre, nowMs);
     },
-    isCut(dataCentre, nowMs) {
+    isDataCentreUnreachable(dataCentre, nowMs) {
       // A data centre that was never heard may not have started yet: no evidence either way.
       if (dataCentre === ownDataCentre || !lastHeardMs.has(dataCentre)) return false;
       return !isHeard(dataCentre, nowMs) && isHeard(ownDataCentre, nowMs);
--- a/src/node/answer-writers.ts
+++ b/src/node/answer-writers.ts
@@ -2,7 +2,7 @@
 import type { Response } from 'express';
 import type { AnswerEnd, AnswerSink } from '../requests/routed-request.js';
 import type { RequestFailure } from '../types/outcomes.js';
-import { STATUS_OF_FAILURE } from '../types/outcomes.js';
+import { HTTP_STATUS_BY_FAILURE } from '../types/outcomes.js';
 
 /** Unread bytes after which a slow caller is disconnected. */
 export const UNREAD_BYTES_MAX = 1024 * 1024;
@@ -19,7 +19,7 @@
   if (failure.retryAfterMs !== undefined) {
     response.set('retry-after', String(Math.max(1, Math.ceil(failure.retryAfterMs / 1000))));
   }
-  response.status(STATUS_OF_FAILURE[failure.type]).json(buildErrorBody(failure, requestId));
+  response.status(HTTP_STATUS_BY_FAILURE[failure.type]).json(buildErrorBody(failure, requestId));
 }
 
 export interface CompletionWriterOptions {
--- a/src/node/claim-runner.ts
+++ b/src/node/claim-runner.ts
@@ -9,9 +9,9 @@
   Claim,
   ClaimCommand,
   ClaimMessage,
-  WriteEnding,
+  WriteResult,
 } from '../claims/claim.js';
-import { STORED_ANSWER_MAX, buildClaimKey } from '../claims/claim-document.js';
+import { STORED_ANSWER_MAX_CHARS, buildClaimKey } from '../claims/claim-document.js';
 import type { ClaimDocument, ClaimState, StoredAnswer } from '../claims/claim-document.js';
 import { PLATFORM_FAILURE } from '../storage/platform-error.js';
 import type { PlatformError } from '../storage/platform-error.js';
@@ -64,7 +64,7 @@
   getVerdict(attemptId: string): AttemptVerdict;
 }
 
-function computeWriteResult(result: Result<void, PlatformError>): WriteEnding {
+function computeWriteResult(result: Result<void, PlatformError>): WriteResult {
   if (result.ok) return 'written';
   switch (result.val.kind) {
     case PLATFORM_FAILURE.Conflict:
@@ -121,13 +121,13 @@
         metrics.count(METRIC.ClaimsWritten);
         const { document } = command;
         const written = await table.transact([{ kind: 'insert', key, document }]);
-        return { kind: 'inserted', ending: computeWriteResult(written) };
+        return { kind: 'inserted', result: computeWriteResult(written) };
       }
       case 'take_over': {
         metrics.count(METRIC.ClaimsWritten);
         const { document, expectedVersion } = command;
         const written = await table.transact([{ kind: 'replace', key, document, expectedVersion }]);
-        return { kind: 'taken_over', ending: computeWriteResult(written) };
+        return { kind: 'taken_over', result: computeWriteResult(written) };
       }
       case 'read':
         return readClaim(key);
@@ -189,12 +189,12 @@
     return {
       take() {
         if (!claim.isFresh(clock.monotonicMs(), clock.wallMs())) return false;
-        isTaken = isTaken || ledger.take(attemptId);
+        isTaken = isTaken || ledger.markSent(attemptId);
         return isTaken;
       },
       settle(state, answer) {
-        if (!isTaken) ledger.remove(attemptId);
-        const isStored = answer !== undefined && answer.body.length <= STORED_ANSWER_MAX;
+        if (!isTaken) ledger.abandon(attemptId);
+        const isStored = answer !== undefined && answer.body.length <= STORED_ANSWER_MAX_CHARS;
         const document = claim.buildDocument(state, isStored ? answer : undefined);
         writeSettledClaim(key, version, document).catch(() => undefined);
       },
@@ -235,7 +235,7 @@
         return { kind: 'held', claim: createHeldClaim(claim, key, command.version, attemptId) };
       }
       // Marks the attempt as abandoned, so that it can never be sent.
-      ledger.remove(attemptId);
+      ledger.abandon(attemptId);
       if (command.kind === 'replay') return { kind: 'replay', answer: command.answer };
       if (command.kind === 'refuse') {
         metrics.count(METRIC.ClaimsRefused);
--- a/src/node/configuration-runner.ts
+++ b/src/node/configuration-runner.ts
@@ -1,6 +1,9 @@
 /** Executes the commands of the configuration keeper: polls, fetches and applies configurations. */
-import { createConfigurationKeeper, PLATFORM_SOURCE } from '../configuration/keeper.js';
-import type { KeeperCommand, KeeperMessage } from '../configuration/keeper.js';
+import { createConfigurationSync, PLATFORM_SOURCE } from '../configuration/configuration-sync.js';
+import type {
+  ConfigurationSyncCommand,
+  ConfigurationSyncMessage,
+} from '../configuration/configuration-sync.js';
 import { parseManifest } from '../configuration/manifest.js';
 import type { ConfigurationStore } from '../configuration/store.js';
 import type { FetchConfigurationResponse } from '../gen/peer_pb.js';
@@ -52,7 +55,7 @@
   options: ConfigurationRunnerOptions,
 ): ConfigurationRunner {
   const { store, timers, metrics, logger } = options;
-  const keeper = createConfigurationKeeper(options.invariants);
+  const configurationSync = createConfigurationSync(options.invariants);
   const getNow = (): number => timers.clock.monotonicMs();
 
   async function runPoll(): Promise<void> {
@@ -66,7 +69,7 @@
     if (head.err || head.val === undefined) return undefined;
     const manifest = await store.getText(head.val.document.manifestHash);
     if (manifest.err) return undefined;
-    const missing = keeper.listMissing(parseManifest(manifest.val));
+    const missing = configurationSync.listMissing(parseManifest(manifest.val));
     const texts = new Map<string, string>();
     for (let start = 0; start < missing.length; start += CONCURRENT_READS_MAX) {
       const hashes = missing.slice(start, start + CONCURRENT_READS_MAX);
@@ -84,7 +87,7 @@
     const head = await options.fetchFromPeer(peer, []);
     if (head === undefined) return undefined;
     const { version, manifest } = head;
-    const missing = keeper.listMissing(parseManifest(manifest));
+    const missing = configurationSync.listMissing(parseManifest(manifest));
     const texts = new Map<string, string>();
     for (let start = 0; start < missing.length; start += TEXTS_PER_REQUEST) {
       const hashes = missing.slice(start, start + TEXTS_PER_REQUEST);
@@ -103,7 +106,7 @@
     else handleMessage({ kind: 'fetched', ...fetched });
   }
 
-  function runCommand(command: KeeperCommand): void {
+  function runCommand(command: ConfigurationSyncCommand): void {
     switch (command.kind) {
       case 'poll':
         runPoll().catch(() => undefined);
@@ -130,8 +133,8 @@
     }
   }
 
-  function handleMessage(message: KeeperMessage): void {
-    for (const command of keeper.handle(message, getNow())) runCommand(command);
+  function handleMessage(message: ConfigurationSyncMessage): void {
+    for (const command of configurationSync.handle(message, getNow())) runCommand(command);
   }
 
   timers.subscribe(TICK_MS, () => handleMessage({ kind: 'tick', isPoller: options.isPoller() }));
@@ -140,13 +143,13 @@
     handle(peer, version) {
       handleMessage({ kind: 'announced', version, source: peer });
     },
-    getVersion: () => keeper.getVersion(),
+    getVersion: () => configurationSync.getVersion(),
     buildResponse: (hashes) => ({
       $typeName: 'hyssoptally.peer.v1.FetchConfigurationResponse',
-      version: keeper.getVersion(),
-      manifest: keeper.getManifestText(),
+      version: configurationSync.getVersion(),
+      manifest: configurationSync.getManifestText(),
       blobs: hashes.flatMap((hash) => {
-        const text = keeper.findText(hash);
+        const text = configurationSync.findText(hash);
         if (text === undefined) return [];
         return [{ $typeName: 'hyssoptally.peer.v1.ConfigurationBlob' as const, hash, text }];
       }),
--- a/src/node/control-runner.ts
+++ b/src/node/control-runner.ts
@@ -9,7 +9,7 @@
 import { applyLeaseDefaults } from '../leases/lease-document.js';
 import type { Lease, LeaseCommand, LeaseMessage, ClockReading } from '../leases/lease.js';
 import type { LeaseDocument } from '../leases/lease-document.js';
-import { ORDER_FLIGHT_MS, ORDER_LEASE } from '../orders/order-lease.js';
+import { ORDER_TIMEOUT_MS, ORDER_LEASE } from '../orders/order-lease.js';
 import { createReconciler } from '../orders/reconciler.js';
 import type { EngineReport, Reconciler } from '../orders/reconciler.js';
 import { PLATFORM_FAILURE } from '../storage/platform-error.js';
@@ -170,7 +170,7 @@
         metrics.count(METRIC.OrdersSent);
         logger.info('order sent', { endpoint: order.endpoint, fence, models: order.models });
         const body = { fence: order.fence, models: order.models };
-        endpoints.fetchJson(endpoint, '/v1/orders', body, ORDER_FLIGHT_MS).catch(() => undefined);
+        endpoints.fetchJson(endpoint, '/v1/orders', body, ORDER_TIMEOUT_MS).catch(() => undefined);
       }
     }
   }
--- a/src/node/endpoint-client.ts
+++ b/src/node/endpoint-client.ts
@@ -46,7 +46,7 @@
   readonly body: string;
 }
 
-export type ServiceEnding =
+export type ServiceResult =
   | { readonly kind: 'answered'; readonly answer: ServiceAnswer }
   | { readonly kind: 'ended'; readonly ending: AttemptEnding };
 
@@ -60,7 +60,7 @@
   startService(
     endpoint: EndpointDeclaration,
     attempt: ServiceAttempt,
-    onEnded: (ending: ServiceEnding) => void,
+    onEnded: (ending: ServiceResult) => void,
   ): () => void;
   /** Sends a control request; undefined on an error, a timeout or a status other than 200. */
   fetchJson(
@@ -209,7 +209,7 @@
     endpoint: EndpointDeclaration,
     attempt: ServiceAttempt,
     signal: AbortSignal,
-  ): Promise<ServiceEnding> {
+  ): Promise<ServiceResult> {
     const response = await getPool(endpoint.url).request({
       method: attempt.method,
       path: attempt.path,
--- a/src/node/fleet-view.ts
+++ b/src/node/fleet-view.ts
@@ -38,12 +38,12 @@
    * others by gossip and seeds only, which saves calls to the platform.
    * @default always
    */
-  readonly usesList?: () => boolean;
+  readonly usesInstanceList?: () => boolean;
   /** HOST:PORT of peers to contact in addition to the listed instances. */
   readonly seeds: readonly string[];
   readonly isLeaving: () => boolean;
   readonly send: (address: string, body: PeerMessage['body']) => void;
-  readonly onChanged: (fact: Fact, before: Fact | undefined) => void;
+  readonly onFactChanged: (fact: Fact, before: Fact | undefined) => void;
 }
 
 export interface FleetView {
@@ -53,11 +53,11 @@
   setConfigurationVersion(version: number): void;
   setDemand(shares: readonly DemandShare[]): void;
   leave(): void;
-  left(): void;
+  announceLeft(): void;
   /** Members that may own shards; excludes suspected ones. */
   listAlive(): Fact[];
   /** Members that are not leaving and have not left, including dead ones. */
-  listPresent(): Fact[];
+  listNotLeaving(): Fact[];
   listStatus(): MemberStatus[];
   listLeavingEndpoints(): string[];
   /** Address of a member that is present. */
@@ -80,7 +80,7 @@
         options.send(command.address, command.body);
         break;
       case 'changed':
-        options.onChanged(command.fact, command.before);
+        options.onFactChanged(command.fact, command.before);
         break;
       default:
         assertNever(command);
@@ -99,11 +99,11 @@
 
   /** Updates this instance's list entry and returns the live instances; empty if the list is not used. */
   async function updateInstanceList(): Promise<readonly ListedInstance[]> {
-    const isUsed = options.usesList?.() ?? true;
+    const isUsed = options.usesInstanceList?.() ?? true;
     if (!isUsed && !isListed) return [];
     isListed = true;
     const state = options.isLeaving() ? LISTED_STATE.Leaving : LISTED_STATE.Live;
-    await instances.set({ ...self, state });
+    await instances.register({ ...self, state });
     if (!isUsed) return [];
     const listed = await instances.list();
     return listed.unwrapOr([]).filter((instance) => instance.state === LISTED_STATE.Live);
@@ -147,13 +147,13 @@
       runMembership({ kind: 'leave' });
       startContactUpdate();
     },
-    left() {
+    announceLeft() {
       runMembership({ kind: 'left' });
     },
     // Suspected members are excluded, so that requests do not wait for an owner that may be dead.
     // A wrong suspicion can briefly cause duplicate grants.
     listAlive: () => membership.listMembers().filter((fact) => fact.state === FactState.ALIVE),
-    listPresent: () =>
+    listNotLeaving: () =>
       membership
         .listMembers()
         .filter((fact) => fact.state !== FactState.LEFT && fact.state !== FactState.LEAVING),
--- a/src/node/request-runner.ts
+++ b/src/node/request-runner.ts
@@ -24,7 +24,7 @@
 import { assertNever } from '../utils/assert-never.js';
 import { buildCompletionBody } from './build-completion.js';
 import type { ClaimRunner, HeldClaim } from './claim-runner.js';
-import type { AttemptListener, EndpointClient, ServiceEnding } from './endpoint-client.js';
+import type { AttemptListener, EndpointClient, ServiceResult } from './endpoint-client.js';
 import { FAILURE_OF_REFUSAL, MESSAGE_OF_REFUSAL } from './refusal-failures.js';
 import type { SlotBroker } from './slot-broker-types.js';
 
@@ -230,7 +230,7 @@
   function handleServiceResult(
     run: Run,
     attemptId: string,
-    result: ServiceEnding,
+    result: ServiceResult,
     endpoint: string,
   ): void {
     if (result.kind === 'ended') {
--- a/src/node/router-core.ts
+++ b/src/node/router-core.ts
@@ -23,7 +23,7 @@
 import type { Metrics } from '../runtime/metrics.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import type { Declarations } from '../types/declarations.js';
-import type { PeerBody } from '../types/peer-messages.js';
+import type { PeerMessageBody } from '../types/peer-messages.js';
 import type { RouterEvents } from '../types/router-events.js';
 import type { RouterStatus } from '../types/router-status.js';
 import { assertNever } from '../utils/assert-never.js';
@@ -79,7 +79,7 @@
   getStatus(): RouterStatus;
   leave(): void;
   recordUnreachable(address: string): void;
-  handleBodies(from: string, bodies: readonly PeerMessage['body'][]): void;
+  handleMessages(from: string, bodies: readonly PeerMessage['body'][]): void;
   buildConfigurationResponse(hashes: readonly string[]): FetchConfigurationResponse;
   getAttemptVerdict(attemptId: string): AttemptVerdict;
 }
@@ -104,7 +104,7 @@
     seeds: options.seeds,
     isLeaving: () => drain.getStage() === STAGE.Leaving || drain.getStage() === STAGE.Drained,
     send: (address, body) => links.send(address, body),
-    onChanged: handleFactChanged,
+    onFactChanged: handleFactChanged,
   });
 
   function createBroker(): SlotBroker {
@@ -216,7 +216,7 @@
     events.emit('member', { subject: fact.subject, state });
   }
 
-  function handleMessage(from: string, body: PeerBody): void {
+  function handleMessage(from: string, body: PeerMessageBody): void {
     switch (body.case) {
       case 'ping':
       case 'pingRequest':
@@ -239,7 +239,7 @@
         options.onStopAccepting();
         break;
       case 'announce_left':
-        fleet.left();
+        fleet.announceLeft();
         break;
       case 'stop':
         // Lets the last message reach the peers before the connections close.
@@ -286,7 +286,7 @@
     }),
     leave: () => runDrain({ kind: 'leave' }),
     recordUnreachable: (address) => fleet.recordUnreachable(address),
-    handleBodies(from, bodies) {
+    handleMessages(from, bodies) {
       for (const body of bodies) if (body.case !== undefined) handleMessage(from, body);
     },
     buildConfigurationResponse: (hashes) => configuration.buildResponse(hashes),
--- a/src/node/router.ts
+++ b/src/node/router.ts
@@ -18,7 +18,7 @@
 import { createLogger } from '../runtime/logger.js';
 import { createMetrics, METRIC } from '../runtime/metrics.js';
 import { createTimerService } from '../runtime/timer-service.js';
-import { FAILURE, STATUS_OF_FAILURE } from '../types/outcomes.js';
+import { FAILURE, HTTP_STATUS_BY_FAILURE } from '../types/outcomes.js';
 import type { RouterEvents } from '../types/router-events.js';
 import type { RouterStatus } from '../types/router-status.js';
 import { hashName } from '../utils/hash.js';
@@ -87,7 +87,7 @@
       )
     : createNotRunFailure(FAILURE.BadRequest, 'not a valid HTTP request; correct the client');
   const body = JSON.stringify(buildErrorBody(failure, 'none'));
-  const status = STATUS_OF_FAILURE[failure.type];
+  const status = HTTP_STATUS_BY_FAILURE[failure.type];
   socket.end(
     `HTTP/1.1 ${status} Refused\r\ncontent-type: application/json\r\nx-hyssoptally-request-id: none\r\n` +
       `content-length: ${Buffer.byteLength(body)}\r\nconnection: close\r\n\r\n${body}`,
@@ -144,7 +144,7 @@
   const peersListen = parseListen(config.peers);
   const peerServer = await startPeerServer(peersListen.host, peersListen.port, config.peerSecret, {
     onMessages(from, bodies) {
-      if (!isStopped) core.handleBodies(from, bodies);
+      if (!isStopped) core.handleMessages(from, bodies);
     },
     onFetchConfiguration: (hashes) => core.buildConfigurationResponse(hashes),
     onQueryAttempt: (attemptId) => core.getAttemptVerdict(attemptId),
--- a/src/node/slot-broker-types.ts
+++ b/src/node/slot-broker-types.ts
@@ -4,11 +4,11 @@
 import type { HeldGrant, SlotRequest, SlotUse } from '../admission/ticket-client-messages.js';
 import type { Refusal } from '../admission/ticket.js';
 import type { Declarations } from '../types/declarations.js';
-import type { PeerBody } from '../types/peer-messages.js';
+import type { PeerMessageBody } from '../types/peer-messages.js';
 
 /** Peer messages that concern admission. */
 export type AdmissionBody = Extract<
-  PeerBody,
+  PeerMessageBody,
   {
     case:
       | 'postTicket'
--- a/src/observability/decision-log.test.ts
+++ b/src/observability/decision-log.test.ts
@@ -14,7 +14,7 @@
 };
 const STARTED: LogEvent = { event: 'started', callers: 'c', peers: 'p' };
 
-function createHarness(countUnread: () => number) {
+function createHarness(countUnreadBytes: () => number) {
   const lines: string[] = [];
   const timers = createTimerService(createSystemClock());
   const logger = winston.createLogger({
@@ -24,7 +24,7 @@
     }),
     transports: [new winston.transports.Console({ silent: true })],
   });
-  return { lines, timers, log: createDecisionLog({ logger, timers, countUnread }) };
+  return { lines, timers, log: createDecisionLog({ logger, timers, countUnreadBytes }) };
 }
 
 describe('decision log', ({ it }) => {
--- a/src/observability/decision-log.ts
+++ b/src/observability/decision-log.ts
@@ -19,7 +19,7 @@
   readonly logger: Logger;
   readonly timers: TimerService;
   /** Returns the number of bytes written but not yet read. */
-  readonly countUnread: () => number;
+  readonly countUnreadBytes: () => number;
 }
 
 export interface DecisionLog {
@@ -33,7 +33,7 @@
 export function createDecisionLog({
   logger,
   timers,
-  countUnread,
+  countUnreadBytes,
 }: DecisionLogOptions): DecisionLog {
   const written: Record<LogKind, number> = { state: 0, failure: 0, served: 0 };
   const dropped: Record<LogKind, number> = { state: 0, failure: 0, served: 0 };
@@ -45,7 +45,7 @@
   timers.subscribe(RATE_WINDOW_MS, () => {
     for (const kind of Object.values(LOG_KIND)) {
       written[kind] = 0;
-      if (dropped[kind] > 0 && countUnread() <= UNREAD_BYTES_MAX) {
+      if (dropped[kind] > 0 && countUnreadBytes() <= UNREAD_BYTES_MAX) {
         writeLine({ event: 'lines_left_out', kind, lines: dropped[kind] });
         dropped[kind] = 0;
       }
@@ -55,7 +55,7 @@
   return {
     write(event, isSuccess = true) {
       const kind = resolveLogKind(event, isSuccess);
-      if (written[kind] >= LINES_PER_WINDOW[kind] || countUnread() > UNREAD_BYTES_MAX) {
+      if (written[kind] >= LINES_PER_WINDOW[kind] || countUnreadBytes() > UNREAD_BYTES_MAX) {
         dropped[kind] += 1;
         return;
       }
--- a/src/observability/explain.test.ts
+++ b/src/observability/explain.test.ts
@@ -1,5 +1,5 @@
 import { describe } from '../test/describe.js';
-import { listStory } from './explain.js';
+import { listRequestHistory } from './explain.js';
 
 function buildLine(second: number, instance: string, message: string, fields: object): string {
   const timestamp = `2026-05-29T22:58:${String(second).padStart(2, '0')}.000Z`;
@@ -8,7 +8,7 @@
 
 describe('explaining a request', ({ it }) => {
   it('lists its lines and state changes of its instance in order of time', (t) => {
-    const story = listStory('r1', [
+    const story = listRequestHistory('r1', [
       buildLine(37, 'front-1', 'request_refused', { request: 'r1', knowledgeAgeMs: 4569 }),
       'something else',
       buildLine(34, 'front-1', 'source_lost', { feed: 'configuration' }),
@@ -24,12 +24,12 @@
   });
 
   it('returns nothing for a request without log lines', (t) => {
-    t.deepEqual(listStory('r2', [buildLine(1, 'front-1', 'started', {})]), []);
+    t.deepEqual(listRequestHistory('r2', [buildLine(1, 'front-1', 'started', {})]), []);
   });
 
   // Guards against an unexplained refusal of a request whose content failed in earlier calls.
   it('lists earlier calls with the same content', (t) => {
-    const story = listStory('r2', [
+    const story = listRequestHistory('r2', [
       buildLine(1, 'front-1', 'attempt_failed', { request: 'r1', content: 'x', endpoint: 'e1' }),
       buildLine(2, 'front-2', 'attempt_failed', { request: 'r9', content: 'y', endpoint: 'e2' }),
       buildLine(3, 'front-2', 'content_refused', { request: 'r2', content: 'x' }),
--- a/src/observability/explain.ts
+++ b/src/observability/explain.ts
@@ -84,7 +84,7 @@
 }
 
 /** Returns lines in order of time; none if the request was not logged. */
-export function listStory(requestId: string, texts: readonly string[]): string[] {
+export function listRequestHistory(requestId: string, texts: readonly string[]): string[] {
   const lines = texts.map(parseLine).filter((line) => line !== undefined);
   const requestLines = lines.filter(({ fields }) => fields.request === requestId);
   if (requestLines.length === 0) return [];
--- a/src/orders/order-lease.ts
+++ b/src/orders/order-lease.ts
@@ -2,7 +2,7 @@
 import type { LeaseTimings } from '../leases/lease-bounds.js';
 
 /** Timeout of an order. */
-export const ORDER_FLIGHT_MS = 3000;
+export const ORDER_TIMEOUT_MS = 3000;
 
 export const ORDER_LEASE: LeaseTimings = {
   durationMs: 6000,
@@ -11,7 +11,7 @@
   // Documents are never removed from the table service.
   absentMs: 0,
   safetyMarginMs: 1000,
-  takeoverDelayMs: ORDER_FLIGHT_MS,
+  takeoverDelayMs: ORDER_TIMEOUT_MS,
   pollMs: 2000,
   storeTimeoutMs: 4000,
 };
--- a/src/peers/datagrams.test.ts
+++ b/src/peers/datagrams.test.ts
@@ -4,7 +4,7 @@
 import { DatagramSchema, LoadScope, TellLoadSchema } from '../gen/peer_pb.js';
 import { describe } from '../test/describe.js';
 import { openDatagrams } from './datagrams.js';
-import type { PeerTelling } from './peer-telling.js';
+import type { PeerStatus } from './peer-status.js';
 
 const SECRET = 'a secret';
 const HOST = '127.0.0.1';
@@ -29,7 +29,7 @@
     const { port } = probe.address();
     probe.close();
     await once(probe, 'close');
-    const received: PeerTelling[] = [];
+    const received: PeerStatus[] = [];
     const unknown: string[] = [];
     const errors: string[] = [];
     const ended = new Promise<void>((resolve) => {
@@ -39,7 +39,7 @@
         secret: SECRET,
         host: HOST,
         port,
-        onTold(status) {
+        onPeerStatus(status) {
           received.push(status);
           resolve();
         },
--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -12,10 +12,10 @@
 import type { AddressedLoadUpdate } from '../load-sharing/load-update.js';
 import type { CaseReport } from '../quarantine/case-ledger.js';
 import { decodeCases, encodeCases } from './encode-cases.js';
-import { decodeTelling, encodeTelling } from './encode-telling.js';
+import { decodeLoadUpdate, encodeLoadUpdate } from './encode-load-update.js';
 import { decodeUsage, encodeUsage } from './encode-usage.js';
 import type { KnowledgeSummary } from './peer-links.js';
-import type { PeerTelling } from './peer-telling.js';
+import type { PeerStatus } from './peer-status.js';
 
 export interface Datagrams {
   sendLoads(
@@ -36,7 +36,7 @@
   readonly secret: string;
   readonly host: string;
   readonly port: number;
-  readonly onTold: (status: PeerTelling) => void;
+  readonly onPeerStatus: (status: PeerStatus) => void;
   readonly onGossip: (from: string, body: PeerMessage['body']) => void;
   readonly onCases: (from: string, cases: readonly CaseReport[]) => void;
   readonly onUsage: (update: UsageUpdate) => void;
@@ -53,9 +53,9 @@
   const socket = createSocket('udp4');
 
   function handleLoad(from: string, load: TellLoad): void {
-    const status = decodeTelling(from, load);
+    const status = decodeLoadUpdate(from, load);
     if (status === undefined) options.onUnknown('scope', String(load.scope));
-    else options.onTold(status);
+    else options.onPeerStatus(status);
   }
 
   function handleDatagram({ from, secret: given, body }: Datagram): void {
@@ -99,7 +99,7 @@
 
   return {
     sendLoads(update, knowledge, time) {
-      for (const value of encodeTelling(update, dataCentre, knowledge, time)) {
+      for (const value of encodeLoadUpdate(update, dataCentre, knowledge, time)) {
         const body = { case: 'load', value } as const;
         const bytes = toBinary(
           DatagramSchema,
--- a/src/peers/encode-telling.test.ts
+++ b/src/peers/encode-load-update.test.ts
@@ -5,7 +5,7 @@
 import type { LoadUpdate } from '../load-sharing/load-update.js';
 import type { EndpointLoadShare } from '../placement/remote-loads.js';
 import { describe } from '../test/describe.js';
-import { decodeTelling, encodeTelling } from './encode-telling.js';
+import { decodeLoadUpdate, encodeLoadUpdate } from './encode-load-update.js';
 import type { KnowledgeSummary } from './peer-links.js';
 
 const KNOWLEDGE: KnowledgeSummary = {
@@ -30,9 +30,9 @@
 });
 
 function encodeAndDecode(update: LoadUpdate) {
-  return encodeTelling(update, 'dc', KNOWLEDGE, TIME).map((load) => {
+  return encodeLoadUpdate(update, 'dc', KNOWLEDGE, TIME).map((load) => {
     const bytes = toBinary(TellLoadSchema, load);
-    const status = decodeTelling('i', fromBinary(TellLoadSchema, bytes));
+    const status = decodeLoadUpdate('i', fromBinary(TellLoadSchema, bytes));
     if (status === undefined) throw new TypeError('load update with an unknown scope');
     return { bytes, status };
   });
--- a/src/peers/encode-telling.ts
+++ b/src/peers/encode-load-update.ts
@@ -10,7 +10,7 @@
 import type { EndpointLoadShare } from '../placement/remote-loads.js';
 import type { PeerTime } from '../duties/true-time.js';
 import type { KnowledgeSummary } from './peer-links.js';
-import type { PeerTelling } from './peer-telling.js';
+import type { PeerStatus } from './peer-status.js';
 
 /** Fits an Ethernet frame at up to 15 bytes per share. */
 const SHARES_PER_DATAGRAM_MAX = 90;
@@ -66,7 +66,7 @@
 }
 
 /** Returns one message per datagram. */
-export function encodeTelling(
+export function encodeLoadUpdate(
   { scope, shares, heardDataCentres }: LoadUpdate,
   dataCentre: string,
   { configurationRevision, endpointsRevision, confirmedAtMs }: KnowledgeSummary,
@@ -104,7 +104,7 @@
 }
 
 /** Returns undefined for a scope of a newer release. */
-export function decodeTelling(instance: string, load: TellLoad): PeerTelling | undefined {
+export function decodeLoadUpdate(instance: string, load: TellLoad): PeerStatus | undefined {
   const scope = decodeScope(load.scope);
   if (scope === undefined) return undefined;
   return {
--- a/src/peers/peer-telling.ts
+++ b/src/peers/peer-status.ts
@@ -4,7 +4,7 @@
 import type { KnowledgeSummary } from './peer-links.js';
 
 /** One datagram of a status, as received. */
-export interface PeerTelling extends ReceivedLoadUpdate {
+export interface PeerStatus extends ReceivedLoadUpdate {
   readonly knowledge: KnowledgeSummary;
   /** Undefined if unknown to the peer. */
   readonly time: PeerTime | undefined;
--- a/src/placement/reading-fit.ts
+++ b/src/placement/reading-fit.ts
@@ -26,7 +26,7 @@
 }
 
 export function createPrefillFit(): PrefillFit {
-  const fit = createLinearFit({ retained: SAMPLE_DECAY, samplesTrusted: SAMPLES_MIN });
+  const fit = createLinearFit({ decay: SAMPLE_DECAY, samplesMin: SAMPLES_MIN });
   return {
     add: (tokens, tookMs) => fit.add(tokens, tookMs),
     get() {
--- a/src/placement/stream-pace.ts
+++ b/src/placement/stream-pace.ts
@@ -29,7 +29,7 @@
 }
 
 export function createPauseModel(): PauseModel {
-  const fit = createLinearFit({ retained: SAMPLE_DECAY, samplesTrusted: SAMPLES_MIN });
+  const fit = createLinearFit({ decay: SAMPLE_DECAY, samplesMin: SAMPLES_MIN });
   const recent = createDecayingSums(['pauses', 'pauseMs', 'running'], HALF_LIFE_MS);
   const getMsPerCall = (): number => Math.max(0, fit.get()?.slope ?? 0);
   return {
--- a/src/slopes/request-slopes.ts
+++ b/src/slopes/request-slopes.ts
@@ -33,7 +33,7 @@
   for (let index = 0; index < count; index += 1) {
     const claim = createClaim({ attemptId: `a-${index}`, entry: 'entry', bodyHash: 'hash' });
     claim.handle({ kind: 'start', monotonicMs: 0, wallMs: 0 });
-    claim.handle({ kind: 'inserted', ending: 'written' });
+    claim.handle({ kind: 'inserted', result: 'written' });
   }
 }
 
--- a/src/soak/fake-endpoints.ts
+++ b/src/soak/fake-endpoints.ts
@@ -3,7 +3,7 @@
   AttemptListener,
   CompletionAttempt,
   EndpointClient,
-  ServiceEnding,
+  ServiceResult,
 } from '../node/endpoint-client.js';
 import type { EndpointDeclaration } from '../types/declarations.js';
 import type { Random } from '../utils/random.js';
@@ -210,7 +210,7 @@
         },
         startService(declaration, attempt, onEnded) {
           let isStopped = false;
-          const end = (ending: ServiceEnding): void => {
+          const end = (ending: ServiceResult): void => {
             time.add(actor, CONNECT_MS, () => {
               if (!isStopped) onEnded(ending);
             });
--- a/src/soak/fake-platform.ts
+++ b/src/soak/fake-platform.ts
@@ -149,7 +149,7 @@
                 .map((entry) => entry.instance),
             ),
           ),
-        set: (instance) =>
+        register: (instance) =>
           runCall<void>(actor, () => {
             const known = listed.get(instance.name);
             const sinceMs = known?.sinceMs ?? time.getNow();
--- a/src/soak/soak-entry.ts
+++ b/src/soak/soak-entry.ts
@@ -87,7 +87,7 @@
     name,
     address,
     dataCentre,
-    handleBodies: (from, bodies) => core.handleBodies(from, bodies),
+    handleBodies: (from, bodies) => core.handleMessages(from, bodies),
     buildConfigurationResponse: (hashes) => core.buildConfigurationResponse(hashes),
     getAttemptVerdict: (attemptId) => core.getAttemptVerdict(attemptId),
   });
--- a/src/storage/instance-list-client.ts
+++ b/src/storage/instance-list-client.ts
@@ -22,7 +22,7 @@
 export interface InstanceListClient {
   list(): Promise<Result<readonly ListedInstance[], PlatformError>>;
   /** Registers this instance; the platform removes it some time after the last call. */
-  set(instance: ListedInstance): Promise<Result<void, PlatformError>>;
+  register(instance: ListedInstance): Promise<Result<void, PlatformError>>;
 }
 
 export function createInstanceListClient(url: string, token: string): InstanceListClient {
@@ -67,7 +67,7 @@
         ),
       );
     },
-    async set(instance) {
+    async register(instance) {
       const result = await send('PUT', `/instances/${instance.name}`, JSON.stringify(instance));
       return result.map(() => undefined);
     },
--- a/src/test/played-instance.ts
+++ b/src/test/played-instance.ts
@@ -86,7 +86,7 @@
     datagrams: network.createDatagrams(self),
     instances: {
       list: async () => Ok(options.contacts.map((contact) => ({ ...contact, state: 'live' }))),
-      set: async () => Ok(undefined),
+      register: async () => Ok(undefined),
     },
     loads,
     time: createFleetTime(),
--- a/src/test/played-network.ts
+++ b/src/test/played-network.ts
@@ -3,7 +3,7 @@
 import type { Contact } from '../membership/membership-messages.js';
 import type { Datagrams } from '../peers/datagrams.js';
 import { decodeCases, encodeCases } from '../peers/encode-cases.js';
-import { decodeTelling, encodeTelling } from '../peers/encode-telling.js';
+import { decodeLoadUpdate, encodeLoadUpdate } from '../peers/encode-load-update.js';
 import type { PeerLinks } from '../peers/peer-links.js';
 import type { VirtualTime } from '../soak/virtual-time.js';
 import type { Random } from '../utils/random.js';
@@ -57,8 +57,8 @@
     }),
     createDatagrams: ({ name, dataCentre }) => ({
       sendLoads(loads, knowledge, sentTime) {
-        for (const datagram of encodeTelling(loads, dataCentre, knowledge, sentTime)) {
-          const status = decodeTelling(name, datagram);
+        for (const datagram of encodeLoadUpdate(loads, dataCentre, knowledge, sentTime)) {
+          const status = decodeLoadUpdate(name, datagram);
           for (const address of loads.addresses) {
             if (status !== undefined)
               sendDatagram(address, (peer) => peer.handlePeerStatus(status));
--- a/src/types/outcomes.ts
+++ b/src/types/outcomes.ts
@@ -27,8 +27,8 @@
   NoEndpoint: 'no_endpoint',
   EndpointFailed: 'endpoint_failed',
   EndpointRefused: 'endpoint_refused',
-  KeyInUse: 'idempotency_key_in_use',
-  KeyReused: 'idempotency_key_reused',
+  IdempotencyKeyInUse: 'idempotency_key_in_use',
+  IdempotencyKeyReused: 'idempotency_key_reused',
   ClaimUnavailable: 'claim_unavailable',
   NotReady: 'not_ready',
   Quarantined: 'quarantined',
@@ -45,7 +45,7 @@
   readonly retryAfterMs?: number;
 }
 
-export const STATUS_OF_FAILURE: Readonly<Record<Failure, number>> = {
+export const HTTP_STATUS_BY_FAILURE: Readonly<Record<Failure, number>> = {
   unauthenticated: 401,
   forbidden_class: 403,
   forbidden_pool: 403,
--- a/src/types/peer-messages.ts
+++ b/src/types/peer-messages.ts
@@ -2,10 +2,10 @@
 import type { PeerMessage } from '../gen/peer_pb.js';
 
 /** A message body, discriminated by `case`. */
-export type PeerBody = Exclude<PeerMessage['body'], { case: undefined }>;
+export type PeerMessageBody = Exclude<PeerMessage['body'], { case: undefined }>;
 
 /** A message with the name of the instance it is sent to. */
 export interface AddressedMessage {
   readonly to: string;
-  readonly body: PeerBody;
+  readonly body: PeerMessageBody;
 }
--- a/src/types/traffic.ts
+++ b/src/types/traffic.ts
@@ -48,7 +48,7 @@
 }
 
 /** Limits for scaling a pool. */
-export interface ScalingBounds {
+export interface ScalingLimits {
   /** Data centres to scale in; if empty, those that already have endpoints of the pool. */
   readonly dataCentres: readonly string[];
   /** Minimum number of endpoints in each data centre, on-demand and spot together. */
@@ -69,7 +69,7 @@
   /** Undefined for plain services. */
   readonly engine: EngineCapacity | undefined;
   /** Undefined if the pool is not scaled by the router. */
-  readonly scaling: ScalingBounds | undefined;
+  readonly scaling: ScalingLimits | undefined;
 }
 
 export interface CallingOrganisation {
--- a/src/utils/linear-fit.ts
+++ b/src/utils/linear-fit.ts
@@ -15,12 +15,12 @@
 
 export interface LinearFitOptions {
   /** Factor applied to the weight of earlier samples at each new sample, 0 to 1. */
-  readonly retained: number;
+  readonly decay: number;
   /** Minimum number of samples for a result. */
-  readonly samplesTrusted: number;
+  readonly samplesMin: number;
 }
 
-export function createLinearFit({ retained, samplesTrusted }: LinearFitOptions): LinearFit {
+export function createLinearFit({ decay, samplesMin }: LinearFitOptions): LinearFit {
   let samples = 0;
   let weight = 0;
   let meanX = 0;
@@ -30,7 +30,7 @@
   return {
     add(x, y) {
       samples += 1;
-      weight = weight * retained + 1;
+      weight = weight * decay + 1;
       const newestWeight = 1 / weight;
       const offsetX = x - meanX;
       const offsetY = y - meanY;
@@ -40,7 +40,7 @@
       covariance += (offsetX * (y - meanY) - covariance) * newestWeight;
     },
     get() {
-      if (samples < samplesTrusted || variance <= 0) return undefined;
+      if (samples < samplesMin || variance <= 0) return undefined;
       return { slope: covariance / variance, meanX, meanY };
     },
   };
