--- a/src/test/end-to-end.test.ts
+++ b/src/test/end-to-end.test.ts
@@ -162,7 +162,7 @@
       const flags = listPlatformFlags(fleet.platform.addresses.url ?? '');
       const rolledBack = await runCtl(['rollback', '1', '--who', 'tests', ...flags]);
       t.is(rolledBack.code, 0);
-      t.regex(rolledBack.out, /nothing to change; version 1 stays/);
+      t.regex(rolledBack.out, /no changes; version 1 remains current/);
       const history = await runCtl(['history', '--json', ...flags]);
       const [record] = JSON.parse(history.out) as { who: string; version: number }[];
       t.is(record?.who, 'tests');
