--- a/src/embedded/embedded-fleet.ts
+++ b/src/embedded/embedded-fleet.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one process on loopback: stand-ins and real routers, for demo and bench. */
+/** Runs routers and stand-ins in one process on loopback, for the demo and the benchmarks. */
 import { randomUUID } from 'node:crypto';
 import { stringify } from 'yaml';
 import { formatPublishError, publishFiles } from '../configuration/publish.js';
@@ -20,7 +20,7 @@
 import { hashText } from '../utils/hash.js';
 import type { ClassDeclaration } from '../types/declarations.js';
 
-/** An organisation of an embedded deployment, with its key in the clear. */
+/** An organisation with its plain-text key; the published declaration contains the key's hash. */
 export interface EmbeddedOrganisation {
   readonly name: string;
   readonly key: string;
@@ -29,12 +29,11 @@
   readonly limits?: { readonly concurrency: number; readonly requestsPerSecond: number };
 }
 
-/** What to start. */
 export interface EmbeddedFleetOptions {
   readonly dataCentres: readonly string[];
   readonly entries: number;
   readonly engines: number;
-  /** Engines that run elsewhere, besides those started here. */
+  /** Engines in other processes, in addition to those started here. */
   readonly engineUrls?: readonly string[];
   readonly services: number;
   readonly slots: number;
@@ -47,16 +46,15 @@
   readonly reportLagMs?: number;
 }
 
-/** A running deployment. */
 export interface EmbeddedFleet {
   readonly platform: PlatformStandin;
   readonly engines: readonly EngineStandin[];
   readonly services: readonly ServiceStandin[];
   readonly routers: readonly Router[];
   readonly store: ConfigurationStore;
-  /** The declarations as published, by file name. */
+  /** Initially published declarations by file name. */
   readonly files: ReadonlyMap<string, string>;
-  /** Publishes files and waits until every router has them in force; the time that took. */
+  /** Publishes files, waits until every router applies them and returns the time taken. */
   publish(
     files: ReadonlyMap<string, string>,
     who: string,
@@ -66,31 +64,32 @@
 
 export const ENGINE_POOL = 'language-model';
 export const SERVICE_POOL = 'stores';
-const SECRET = 'embedded-fleet-secret';
-const WAIT_MS = 15_000;
-const WAIT_STEP_MS = 10;
+const SHARED_SECRET = 'embedded-fleet-secret';
+const WAIT_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 10;
 
-/** Waits until a condition holds; throws naming it when it does not in time. */
+/** Polls until `isDone` returns true; throws an error with the condition's description on timeout. */
 export async function waitUntil(
-  what: string,
+  condition: string,
   isDone: () => boolean,
-  timeoutMs = WAIT_MS,
+  timeoutMs = WAIT_TIMEOUT_MS,
 ): Promise<void> {
-  const untilMs = performance.now() + timeoutMs;
+  const deadlineMs = performance.now() + timeoutMs;
   while (!isDone()) {
-    if (performance.now() > untilMs) throw new Error(`waited ${timeoutMs} ms in vain: ${what}`);
+    if (performance.now() > deadlineMs)
+      throw new Error(`timed out after ${timeoutMs} ms waiting for: ${condition}`);
     // eslint-disable-next-line no-await-in-loop
     await new Promise<void>((resolve) => {
-      setTimeout(resolve, WAIT_STEP_MS);
+      setTimeout(resolve, POLL_INTERVAL_MS);
     });
   }
 }
 
-function getPlace<T>(list: readonly T[], index: number): T {
+function getCyclic<T>(list: readonly T[], index: number): T {
   return list[index % list.length] as T;
 }
 
-/** The declarations of a deployment as files. */
+/** Builds the declaration files. */
 function buildFiles(
   options: EmbeddedFleetOptions,
   engines: readonly EngineStandin[],
@@ -116,7 +115,7 @@
     Object.fromEntries(
       servers.map((server, index) => [
         `${prefix}-${index + 1}`,
-        { url: server.url, dataCentre: getPlace(options.dataCentres, index), slots },
+        { url: server.url, dataCentre: getCyclic(options.dataCentres, index), slots },
       ]),
     );
   return new Map([
@@ -143,31 +142,31 @@
   ]);
 }
 
-async function startEntries(options: EmbeddedFleetOptions, platformUrl: string): Promise<Router[]> {
+async function startRouters(options: EmbeddedFleetOptions, platformUrl: string): Promise<Router[]> {
   const routers: Router[] = [];
   for (let index = 0; index < options.entries; index += 1) {
     const settings: RouterOptions = {
       name: `entry-${index + 1}`,
-      dataCentre: getPlace(options.dataCentres, index),
+      dataCentre: getCyclic(options.dataCentres, index),
       platformTable: platformUrl,
       platformObjects: platformUrl,
       platformInstances: platformUrl,
       platformAccessKeyId: STANDIN_CREDENTIALS.accessKeyId,
       platformSecretAccessKey: STANDIN_CREDENTIALS.secretAccessKey,
       platformToken: STANDIN_CREDENTIALS.token,
-      peerSecret: SECRET,
-      operatorSecret: SECRET,
+      peerSecret: SHARED_SECRET,
+      operatorSecret: SHARED_SECRET,
       logLevel: options.logLevel ?? 'silent',
       seeds: routers.slice(0, 2).map((router) => router.peersAddress),
     };
-    // One after the other: each names the first ones as its seeds.
+    // Sequential, because each router needs the addresses of the first two as seeds.
     // eslint-disable-next-line no-await-in-loop
     routers.push(await startRouter(settings, options.internals));
   }
   return routers;
 }
 
-/** Starts a deployment and publishes its declarations. */
+/** Starts the fleet and publishes its declarations. */
 export async function startEmbeddedFleet(options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
   const platform = await startPlatformStandin({ listLagMs: 500 });
   const engines = await Promise.all(
@@ -196,7 +195,7 @@
     createTableClient(table, 'hyssoptally'),
     createObjectClient(objects, 'hyssoptally'),
   );
-  const routers = await startEntries(options, platform.url);
+  const routers = await startRouters(options, platform.url);
   const files = buildFiles(options, engines, services);
 
   async function publish(
@@ -215,14 +214,14 @@
     });
     if (published.err) throw new Error(formatPublishError(published.val));
     const { version } = published.val;
-    await waitUntil(`version ${version} in force everywhere`, () =>
+    await waitUntil(`version ${version} applied on every router`, () =>
       routers.every((router) => router.getStatus().configurationVersion >= version),
     );
     return { version, ms: performance.now() - startedMs };
   }
 
   await publish(files, 'demo');
-  await waitUntil('every router sees every other', () =>
+  await waitUntil('every router lists all routers as members', () =>
     routers.every((router) => router.getStatus().members.length === routers.length),
   );
 
--- a/src/test/played-instance.ts
+++ b/src/test/played-instance.ts
@@ -1,4 +1,4 @@
-/** One instance of a play: the decisions and the exchange with peers that ship, on played engines and links. */
+/** An instance with the production call runner, placer, quarantine and peer exchange, on simulated engines and links. */
 import { createCallRunner } from '../calls/call-runner.js';
 import type { CallRunner } from '../calls/call-runner.js';
 import type { AttemptRecord } from '../calls/call-records.js';
@@ -21,17 +21,16 @@
 import type { Random } from '../utils/random.js';
 import { Ok } from '../utils/result.js';
 import type { PlayedNetwork } from './played-network.js';
-import { FULL_STATUS } from './simulated-engine.js';
+import { QUEUE_FULL_STATUS } from './simulated-engine.js';
 
-/** What an instance is played with. */
-export interface PlayedInstanceOptions {
+export interface SimulatedInstanceOptions {
   readonly self: Contact;
-  /** The whole fleet, as the platform lists it. */
+  /** All instances of the fleet. */
   readonly contacts: readonly Contact[];
   readonly timers: TimerService;
   readonly random: Random;
   readonly network: PlayedNetwork;
-  /** What the registry lists. */
+  /** Lists the endpoints in the registry. */
   readonly listOpen: () => readonly RegisteredEndpoint[];
   readonly standings: RouteRanks;
   readonly connections: EndpointConnections;
@@ -40,24 +39,23 @@
   readonly onAttempt: (record: AttemptRecord) => void;
 }
 
-/** An instance that runs calls. */
 export interface PlayedInstance {
   readonly runner: CallRunner;
   readonly exchange: PeerExchange;
   readonly quarantine: Quarantine;
 }
 
-/** Instances whose addresses all know when they start. */
-const SEEDS = 3;
-/** As often as a gateway does, in milliseconds. */
+/** Instances whose addresses every instance is configured with. */
+const SEED_COUNT = 3;
+/** The interval of the gateway. */
 const QUARANTINE_TICK_MS = 100;
 
-/** Engines of a play name the call in the one header of their answer. */
+/** Simulated engines return the call ID in the only response header. */
 const PROTOCOL: EndpointProtocol = {
   encode: ({ callId }) => ({ method: 'POST', target: callId, headers: [], body: Buffer.alloc(0) }),
   decode: (status, [callId]) => ({
     callId: callId?.value,
-    isNotRun: status === FULL_STATUS,
+    isNotRun: status === QUEUE_FULL_STATUS,
     isWrongEndpoint: false,
     isSigned: true,
     isEventStream: true,
@@ -65,8 +63,7 @@
   }),
 };
 
-/** Starts an instance. */
-export function createPlayedInstance(options: PlayedInstanceOptions): PlayedInstance {
+export function createPlayedInstance(options: SimulatedInstanceOptions): PlayedInstance {
   const { self, timers, random, network, listOpen, standings } = options;
   const loads = createEndpointLoads();
   const quarantine = createQuarantine({
@@ -80,7 +77,7 @@
   const exchange = createPeerExchange({
     self,
     incarnation: 1,
-    seeds: options.contacts.slice(0, SEEDS).map(({ address }) => address),
+    seeds: options.contacts.slice(0, SEED_COUNT).map(({ address }) => address),
     timers,
     random,
     invariants: createInvariants(() => undefined),
--- a/src/test/played-network.ts
+++ b/src/test/played-network.ts
@@ -1,4 +1,4 @@
-/** Links between the instances of a play: late, and datagrams now and then lost. */
+/** Links between simulated instances, with latency and datagram loss. */
 import type { PeerMessage } from '../gen/peer_pb.js';
 import type { Contact } from '../membership/membership-messages.js';
 import type { Datagrams } from '../peers/datagrams.js';
@@ -9,24 +9,21 @@
 import type { Random } from '../utils/random.js';
 import type { PeerExchange } from '../gateway/peer-exchange.js';
 
-/** The way between two instances, in milliseconds: between data centres of one region, and an event loop that has other work. */
+/** One-way latency between data centres of a region, with event loop delay. */
 const DELAY_MIN_MS = 1;
 const DELAY_SPREAD_MS = 3;
-/** Part of the datagrams that is lost. */
-const LOSS = 0.01;
+const LOSS_PROBABILITY = 0.01;
 
-/** The network of a play. */
 export interface PlayedNetwork {
   add(address: string, exchange: PeerExchange): void;
   createLinks(self: Contact): PeerLinks;
   createDatagrams(
     self: Contact,
   ): Pick<Datagrams, 'sendLoads' | 'sendGossip' | 'sendCases' | 'sendUsage'>;
-  /** Datagrams that were sent so far. */
+  /** Counts the datagrams sent so far, including lost ones. */
   countSent(): number;
 }
 
-/** Builds a network without anybody on it. */
 export function createPlayedNetwork(time: VirtualTime, random: Random): PlayedNetwork {
   const peers = new Map<string, PeerExchange>();
   let sent = 0;
@@ -40,10 +37,11 @@
 
   function sendDatagram(address: string, deliver: (peer: PeerExchange) => void): void {
     sent += 1;
-    if (random.next() >= LOSS) send(address, deliver);
+    if (random.next() >= LOSS_PROBABILITY) send(address, deliver);
   }
 
-  const refuse = (): Promise<never> => Promise.reject(new Error('not played'));
+  const rejectCall = (): Promise<never> =>
+    Promise.reject(new Error('not supported by the simulated network'));
 
   return {
     add(address, exchange) {
@@ -53,24 +51,24 @@
       send(address, body: PeerMessage['body']) {
         send(address, (peer) => peer.handleMessages(name, [body]));
       },
-      fetchConfiguration: refuse,
-      fetchKnowledge: refuse,
-      queryAttempt: refuse,
+      fetchConfiguration: rejectCall,
+      fetchKnowledge: rejectCall,
+      queryAttempt: rejectCall,
     }),
     createDatagrams: ({ name, dataCentre }) => ({
-      sendLoads(update, knowledge, sentTime) {
-        for (const load of encodeLoadUpdate(update, dataCentre, knowledge, sentTime)) {
-          const status = decodeLoadUpdate(name, load);
-          for (const address of update.addresses) {
+      sendLoads(loads, knowledge, sentTime) {
+        for (const datagram of encodeLoadUpdate(loads, dataCentre, knowledge, sentTime)) {
+          const status = decodeLoadUpdate(name, datagram);
+          for (const address of loads.addresses) {
             if (status !== undefined)
               sendDatagram(address, (peer) => peer.handlePeerStatus(status));
           }
         }
       },
       sendCases(addresses, cases) {
-        const reports = decodeCases(encodeCases(cases));
+        const decodedCases = decodeCases(encodeCases(cases));
         for (const address of addresses) {
-          sendDatagram(address, (peer) => peer.handleCases(name, reports));
+          sendDatagram(address, (peer) => peer.handleCases(name, decodedCases));
         }
       },
       sendUsage: () => undefined,
--- a/src/test/process-fleet.ts
+++ b/src/test/process-fleet.ts
@@ -1,4 +1,4 @@
-/** A small deployment of separate processes: platform, engines, a service and routers. */
+/** A small deployment of separate processes: stand-in platform, engines, a service and routers. */
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -21,29 +21,27 @@
 export const OTHER_KEY = 'key-of-the-stalls';
 export const TEST_DATA_CENTRES = ['peliyagoda', 'wattala'] as const;
 
-/** A running deployment. */
 export interface ProcessFleet {
   readonly platform: TestProcess;
   readonly engines: readonly TestProcess[];
   readonly service: TestProcess;
   readonly routers: readonly TestProcess[];
-  /** Relays before the engines, where the fleet was asked for them. */
+  /** One in front of each engine if `hasRelays` was set, otherwise empty. */
   readonly relays: readonly Relay[];
-  readonly folder: string;
-  /** Publishes the folder with the operators' tool. */
+  readonly configurationFolder: string;
+  /** Publishes the configuration folder with `hyssoptally-ctl apply`. */
   publish(): Promise<{ code: number; out: string; err: string }>;
   stop(): Promise<void>;
 }
 
-/** What to start. */
 export interface ProcessFleetOptions {
   /** @default 2 */
   readonly routers?: number;
   /** @default 2 */
   readonly engines?: number;
-  /** @default 10 */
+  /** Duration of a decoding step of an engine. @default 10 */
   readonly stepMs?: number;
-  /** Puts a relay before each engine. @default false */
+  /** Puts a TCP relay in front of each engine. @default false */
   readonly hasRelays?: boolean;
   readonly engineFlags?: readonly string[];
   readonly routerFlags?: readonly string[];
@@ -58,7 +56,7 @@
   return TEST_DATA_CENTRES[index % TEST_DATA_CENTRES.length] as string;
 }
 
-async function writeFolder(
+async function writeConfiguration(
   folder: string,
   engineUrls: readonly string[],
   service: TestProcess,
@@ -74,7 +72,7 @@
     stores: {
       kind: 'service',
       endpoints: {
-        'service-1': { url: service.listening.url, dataCentre: getDataCentre(0), slots: 8 },
+        'service-1': { url: service.addresses.url, dataCentre: getDataCentre(0), slots: 8 },
       },
     },
   };
@@ -93,11 +91,11 @@
   await writeFile(join(folder, '30-organisations.yaml'), stringify({ organisations }));
 }
 
-/** Starts a deployment and waits until its routers are ready and know each other. */
+/** Starts a deployment and waits until every router is ready and lists every other as a member. */
 export async function startProcessFleet(options: ProcessFleetOptions = {}): Promise<ProcessFleet> {
   const folder = await mkdtemp(join(tmpdir(), 'hyssoptally-'));
   const platform = await startProcess('standin', ['platform', '--list-lag-ms', '200']);
-  const platformUrl = platform.listening.url ?? '';
+  const platformUrl = platform.addresses.url ?? '';
   const engines = await Promise.all(
     Array.from({ length: options.engines ?? 2 }, (_, index) =>
       startProcess('standin', [
@@ -108,12 +106,16 @@
     ),
   );
   const service = await startProcess('standin', ['service', '--name', 'service-1']);
-  const urls = engines.map((engine) => engine.listening.url ?? '');
+  const urls = engines.map((engine) => engine.addresses.url ?? '');
   const relays =
     options.hasRelays === true
       ? await Promise.all(urls.map((url) => startRelay(Number(new URL(url).port))))
       : [];
-  await writeFolder(folder, relays.length > 0 ? relays.map(({ url }) => url) : urls, service);
+  await writeConfiguration(
+    folder,
+    relays.length > 0 ? relays.map(({ url }) => url) : urls,
+    service,
+  );
   const publish = () =>
     runCtl(['apply', folder, '--who', 'tests', ...listPlatformFlags(platformUrl)]);
   const published = await publish();
@@ -128,9 +130,9 @@
       }),
     ),
   );
-  await waitFor('every router is ready and sees every other', async () => {
+  await waitFor('every router is ready and lists every other', async () => {
     const statuses = await Promise.all(
-      routers.map((router) => fetchStatus(router.listening.operators ?? '')),
+      routers.map((router) => fetchStatus(router.addresses.operators ?? '')),
     );
     return statuses.every(
       (status) => status.stage === 'ready' && status.members.length === routers.length,
@@ -142,7 +144,7 @@
     service,
     routers,
     relays,
-    folder,
+    configurationFolder: folder,
     publish,
     async stop() {
       stopProcesses();
--- a/src/test/processes.ts
+++ b/src/test/processes.ts
@@ -1,69 +1,68 @@
-/** Starts the project's own binaries as processes for end-to-end tests, and ends them by id. */
+/** Starts and stops the project's binaries as child processes of end-to-end tests. */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { createInterface } from 'node:readline';
 import { fileURLToPath } from 'node:url';
 import { STANDIN_CREDENTIALS } from '../standin/platform.js';
 
-/** What a binary prints once it listens. */
-export interface Listening {
+/** The JSON line that a binary prints to stdout once it listens. */
+export interface ListenAddresses {
   readonly url?: string;
   readonly callers?: string;
   readonly operators?: string;
   readonly peers?: string;
 }
 
-/** A process of the project's. */
 export interface TestProcess {
-  readonly listening: Listening;
+  readonly addresses: ListenAddresses;
   readonly child: ChildProcess;
-  /** Sends a signal; a dead process is no error. */
-  send(signal: NodeJS.Signals): void;
-  /** Waits for the end; the exit code, or undefined after a signal. */
-  wait(): Promise<number | undefined>;
+  /** Does nothing if the process has already exited. */
+  sendSignal(signal: NodeJS.Signals): void;
+  /** Resolves to the exit code, or to undefined if a signal ended the process. */
+  waitForExit(): Promise<number | undefined>;
 }
 
-/** Settings all routers of a test share. */
 export interface RouterProcessOptions {
   readonly name: string;
   readonly dataCentre: string;
   readonly platformUrl: string;
   readonly seeds?: readonly string[];
-  /** HOST:PORT to listen on for peers. */
-  readonly peers?: string;
+  /** HOST:PORT */
+  readonly peerListenAddress?: string;
   readonly flags?: readonly string[];
 }
 
 export const TEST_SECRET = 'secret-of-the-tests';
 
-const started = new Set<ChildProcess>();
+const runningProcesses = new Set<ChildProcess>();
 
-/** Starts a binary and waits until it says that it listens. */
+/** Starts `dist/cli/<binary>-main.js` and waits until it listens. */
 export async function startProcess(binary: string, args: readonly string[]): Promise<TestProcess> {
   const path = fileURLToPath(new URL(`../cli/${binary}-main.js`, import.meta.url));
   const child = spawn(process.execPath, [path, ...args], { stdio: ['ignore', 'pipe', 'inherit'] });
-  started.add(child);
-  const ended = new Promise<number | undefined>((resolve) => {
+  runningProcesses.add(child);
+  const exited = new Promise<number | undefined>((resolve) => {
     child.once('exit', (code) => {
-      started.delete(child);
+      runningProcesses.delete(child);
       resolve(code ?? undefined);
     });
   });
-  const listening = await new Promise<Listening>((resolve, reject) => {
+  const addresses = await new Promise<ListenAddresses>((resolve, reject) => {
     createInterface({ input: child.stdout }).once('line', (line) => resolve(JSON.parse(line)));
-    child.once('exit', (code) => reject(new Error(`${binary} ended early with ${code}`)));
+    child.once('exit', (code) =>
+      reject(new Error(`${binary} exited with code ${code} before it listened`)),
+    );
   });
   return {
-    listening,
+    addresses,
     child,
-    send: (signal) => {
+    sendSignal: (signal) => {
       child.kill(signal);
     },
-    wait: () => ended,
+    waitForExit: () => exited,
   };
 }
 
-/** Starts a router. */
 export function startRouterProcess(options: RouterProcessOptions): Promise<TestProcess> {
   const { name, dataCentre, platformUrl, seeds = [], flags = [] } = options;
   return startProcess('router', [
@@ -74,13 +73,13 @@
     ...['--platform-secret-access-key', STANDIN_CREDENTIALS.secretAccessKey],
     ...['--platform-token', STANDIN_CREDENTIALS.token],
     ...['--peer-secret', TEST_SECRET, '--operator-secret', TEST_SECRET, '--log-level', 'error'],
-    ...(options.peers === undefined ? [] : ['--peers', options.peers]),
+    ...(options.peerListenAddress === undefined ? [] : ['--peers', options.peerListenAddress]),
     ...seeds.flatMap((seed) => ['--seeds', seed]),
     ...flags,
   ]);
 }
 
-/** Runs the operators' tool to its end. */
+/** Runs `hyssoptally-ctl` and waits for it to exit. */
 export async function runCtl(
   args: readonly string[],
   env: Readonly<Record<string, string>> = {},
@@ -90,7 +89,7 @@
     stdio: ['ignore', 'pipe', 'pipe'],
     env: { ...process.env, ...env },
   });
-  started.add(child);
+  runningProcesses.add(child);
   let out = '';
   let err = '';
   child.stdout.on('data', (chunk: Buffer) => {
@@ -102,11 +101,11 @@
   const code = await new Promise<number>((resolve) => {
     child.once('close', (status) => resolve(status ?? -1));
   });
-  started.delete(child);
+  runningProcesses.delete(child);
   return { code, out, err };
 }
 
-/** Flags of the operators' tool for a stand-in platform. */
+/** The `hyssoptally-ctl` flags that select a stand-in platform. */
 export function listPlatformFlags(platformUrl: string): string[] {
   return [
     ...['--platform-table', platformUrl, '--platform-objects', platformUrl],
@@ -115,7 +114,7 @@
   ];
 }
 
-/** Ends everything that still runs. */
+/** Kills every child process that is still running. */
 export function stopProcesses(): void {
-  for (const child of started) child.kill('SIGKILL');
+  for (const child of runningProcesses) child.kill('SIGKILL');
 }
