--- a/src/knowledge/configuration-knowledge.ts
+++ b/src/knowledge/configuration-knowledge.ts
@@ -1,6 +1,6 @@
 /**
- * The newest known configuration and when the source last confirmed it as the newest; does no I/O.
- * The version never goes back.
+ * The newest known configuration and when the source last confirmed it as the newest. The version
+ * never decreases. Performs no I/O.
  */
 
 /** A statement about the newest version, from the source or a peer. */
--- a/src/knowledge/feed-lag-detector.ts
+++ b/src/knowledge/feed-lag-detector.ts
@@ -1,4 +1,6 @@
 /**
+ * Detects that this instance's feed lags behind those of its peers.
+ *
  * Guards against a stalled feed connection while the source still answers peers: an endpoint would
  * get calls after it announced that it is leaving.
  */
--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -33,7 +33,7 @@
   readonly listener: FeedListener;
   readonly timers: TimerService;
   readonly random: Random;
-  /** Long-poll timeout of the next watch, in milliseconds. */
+  /** Long-poll timeout of the next watch. */
   readonly getWaitMs: () => number;
   /**
    * Multiplier of the delay after a failed call.
--- a/src/knowledge/feed.ts
+++ b/src/knowledge/feed.ts
@@ -29,10 +29,7 @@
 export interface FeedReader {
   /** All rows at one revision. */
   list(): Promise<FeedResponse>;
-  /**
-   * Changes after a revision; returns at the first change or after `waitMs` milliseconds without
-   * one.
-   */
+  /** Changes after a revision; returns at the first change or after `waitMs` without one. */
   watch(revision: number, waitMs: number): Promise<FeedResponse>;
   /** Aborts calls in progress and closes their connection. */
   reset(): void;
--- a/src/knowledge/watch-role.ts
+++ b/src/knowledge/watch-role.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether this instance watches the source's feeds itself or follows its peers; does no
- * I/O.
+ * Decides whether this instance watches the source's feeds itself or follows its peers. Performs
+ * no I/O.
  *
  * Each open feed costs billed calls, and peers receive changes within a few hundred milliseconds.
  * So only one instance per data centre watches, chosen by rendezvous hashing, and at least three in
@@ -22,8 +22,8 @@
 const STARTUP_GRACE_MS = 1500;
 /**
  * Time for which an instance keeps watching after it was last needed, so that a recovering source
- * can settle. A starting instance with fresh data from peers does not watch for as long, since it
- * does not know the whole fleet yet.
+ * can settle. A starting instance with fresh data from peers follows them for the same time, since
+ * it does not know the whole fleet yet.
  */
 const ROLE_HOLD_MS = 5000;
 
@@ -36,7 +36,7 @@
   readonly self: string;
   /** Reachable live instances, including this one. */
   readonly alive: readonly WatchCandidate[];
-  /** Age of the local data in milliseconds; infinite before the first. */
+  /** Age of the local data; infinite before the first. */
   readonly knowledgeAgeMs: number;
   /** Whether this instance was started with addresses of others. */
   readonly hasContacts: boolean;
--- a/src/leases/lease-bounds.ts
+++ b/src/leases/lease-bounds.ts
@@ -1,6 +1,4 @@
-/** Durations that govern a lease, in milliseconds. */
-
-/** Durations shared by all participants in a lease, in milliseconds. */
+/** Durations shared by all participants in a lease. */
 export interface LeaseTimings {
   /**
    * How long a write by the holder grants the lease, measured on its own clocks from before
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -7,7 +7,7 @@
 import type { LeaseOptions } from './lease.js';
 
 const STEP_MS = 50;
-/** Time by which the first holder has the lease, in milliseconds. */
+/** Time by which the first holder has the lease. */
 const FIRST_TAKEOVER_MS = 6000;
 /** Schedules per run; `LEASE_RUNS` overrides the number. */
 const RUNS = Number(process.env.LEASE_RUNS ?? 1000);
--- a/src/leases/lease.test.ts
+++ b/src/leases/lease.test.ts
@@ -29,7 +29,7 @@
   readonly holder: number;
   readonly action: 'run' | 'pause' | 'suspend' | 'wake' | 'cut_off' | 'reconnected';
   readonly isResponseLost: boolean;
-  /** Latency of the orders sent in this step, in milliseconds. */
+  /** Latency of the orders sent in this step. */
   readonly latencyMs: number;
 }
 
--- a/src/leases/lease.ts
+++ b/src/leases/lease.ts
@@ -22,7 +22,6 @@
   readonly wallMs: number;
 }
 
-/** Outcome of a write. */
 export type WriteResult =
   /** `version`: the new version of the document. */
   | { readonly kind: 'written'; readonly version: number }
@@ -54,7 +53,7 @@
 export interface Grant {
   /** Fencing token: sent with each call; a higher token belongs to a later holder. */
   readonly fence: number;
-  /** Time by which calls started now must have ended, in milliseconds from now. */
+  /** Time from now within which calls started now must have ended. */
   readonly remainingMs: number;
 }
 
--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -15,17 +15,16 @@
 import { LOAD_SCOPE } from './load-update.js';
 import type { AddressedLoadUpdate, ReceivedLoadUpdate } from './load-update.js';
 
-/** Period of load updates, in milliseconds. */
 export const LOAD_UPDATE_PERIOD_MS = 100;
 /** Periods after which an unchanged update is repeated, as a heartbeat. */
 const HEARTBEAT_PERIODS = 3;
-/** Age at which reported loads are removed, in milliseconds: three lost heartbeats. */
+/** Age at which reported loads are removed: three lost heartbeats. */
 const REMOTE_LOAD_AGE_MAX_MS = 1000;
-/** Time without an update after which an aggregator is skipped, in milliseconds. */
+/** Time without an update after which an aggregator is skipped. */
 const AGGREGATOR_TIMEOUT_MS = 500;
-/** Time for which it is skipped, in milliseconds, by when membership has detected a failure. */
+/** Time for which it is skipped; membership detects a failure within this time. */
 const AGGREGATOR_BACKOFF_MS = 3000;
-/** Time for which a data centre counts as heard after its last update, in milliseconds. */
+/** Time for which a data centre counts as heard after its last update. */
 const DATA_CENTRE_TIMEOUT_MS = 400;
 /** Periods between refreshes of the list of instances. */
 const FLEET_REFRESH_PERIODS = 5;
@@ -61,10 +60,10 @@
   const groupLoads = createRemoteLoads();
   /** Instances that report to this one, and the sources under which their loads are stored. */
   const reporters = new Map<string, Reporter>();
-  /** When each aggregator and each data centre was last heard, in milliseconds. */
+  /** When each aggregator and each data centre was last heard. */
   const aggregatorsHeardMs = new Map<string, number>();
   const dataCentresHeardMs = new Map<string, number>();
-  /** Aggregators that do not answer, and until when they are skipped, in milliseconds. */
+  /** Aggregators that do not answer, and until when they are skipped. */
   const skippedUntilMs = new Map<string, number>();
   let addresses = new Map<string, string>();
   let aggregators: string[] = [];
--- a/src/placement/choose-endpoint.test.ts
+++ b/src/placement/choose-endpoint.test.ts
@@ -53,7 +53,7 @@
   };
 }
 
-/** Time in which the engines of these tests read a token, in milliseconds. */
+/** Time in which the engines of these tests read a token. */
 const TOKEN_MS = 1 / 112;
 
 /** Loads that have learned the prefill speed of the pool. */
@@ -73,7 +73,7 @@
   loads.start(buildEndpoint(id), unreadTokens, 0);
 }
 
-/** Increase in the pause between two events per running call, in milliseconds. */
+/** Increase in the pause between two events per running call. */
 const PAUSE_MS_PER_CALL = 1;
 
 /** Records streams at a separate engine, from which the loads learn how pauses grow with calls. */
@@ -88,7 +88,8 @@
 }
 
 /**
- * Simulates prompts with shared parts on six engines; returns the tokens read and the longest wait.
+ * Simulates prompts with shared prefixes on six engines; returns the tokens read and the longest
+ * wait.
  */
 function runSharedPrompts(choose: (input: ChoiceInput) => string): {
   read: number;
@@ -117,7 +118,7 @@
 
 describe('choosing an endpoint', ({ describe: block }) => {
   block('for prompts', ({ it }) => {
-    it('sends prompts with the same shared part to one endpoint, on every instance', (t) => {
+    it('sends prompts with the same shared prefix to one endpoint, on every instance', (t) => {
       for (const part of ['x', 'y', 'z']) {
         const chosen = [1, 2, 3].map(
           (seed) =>
@@ -129,8 +130,8 @@
       }
     });
 
-    // Guards against spreading 150 shared parts over all engines, each of which would read every
-    // part.
+    // Guards against spreading the shared prefixes over all engines, each of which would read every
+    // one of them.
     it('reads far fewer tokens than random placement', (t) => {
       const together = runSharedPrompts((input) => chooseEndpoint(input)?.endpoint.id ?? '');
       const spread = runSharedPrompts(
@@ -140,7 +141,7 @@
       t.true(together.longestMs < spread.longestMs, `${together.longestMs}, ${spread.longestMs}`);
     });
 
-    // Guards against queueing behind a busy home for longer than reading the part elsewhere takes.
+    // Guards against queueing behind a busy home for longer than reading the prefix elsewhere takes.
     it('leaves the home when its queue of unread tokens is too long', (t) => {
       const loads = createTrainedLoads();
       const prompt = buildPrompt('x', 2000, 1000);
@@ -168,7 +169,7 @@
       t.deepEqual(placements, ['a', 'b']);
     });
 
-    // Guards against leaving a cached part at once when its home is full, and against missing the
+    // Guards against leaving a cached prefix at once when its home is full, and against missing the
     // target by waiting for a slot there.
     it('leaves a home without a free slot only when the call is about to miss its target', (t) => {
       const endpoints = ['a', 'b', 'c'].map((id) => ({ ...buildEndpoint(id), slots: 16 }));
--- a/src/placement/choose-endpoint.ts
+++ b/src/placement/choose-endpoint.ts
@@ -59,7 +59,7 @@
   readonly isAvoided: (endpoint: RegisteredEndpoint) => boolean;
   readonly loads: EndpointLoads;
   readonly random: Random;
-  /** Target for the first event, measured from the call's arrival, in milliseconds. */
+  /** Target for the first event, measured from the call's arrival. */
   readonly targetMs: number;
   /** Mean number of events in answers of the route; 0 while unknown. */
   readonly eventsExpected: number;
@@ -133,10 +133,7 @@
   readonly input: ChoiceInput;
   readonly timing: PoolTiming;
   readonly msPerToken: number;
-  /**
-   * Cost of reading the shared prefix again, in milliseconds: the minimum cost of any engine but
-   * the home.
-   */
+  /** Cost of reading the shared prefix again: the minimum cost of any engine but the home. */
   readonly rereadMs: number;
 }
 
@@ -149,7 +146,7 @@
   return { ...cost, input, timing, msPerToken, rereadMs };
 }
 
-/** Cost of the calls already running at an engine, in milliseconds. */
+/** Cost of the calls already running at an engine. */
 function computeRunningMs(
   { input: { targetMs, eventsExpected }, timing }: PromptChoice,
   running: number,
@@ -160,7 +157,7 @@
   return Math.max((counted / slots) * targetMs * FULL_ENGINE_COST_SHARE, streamDelayMs);
 }
 
-/** Estimated cost of sending the prompt to an engine, in milliseconds. */
+/** Estimated cost of sending the prompt to an engine. */
 function computeCostMs(
   choice: PromptChoice,
   candidate: RegisteredEndpoint,
--- a/src/placement/endpoint-loads.ts
+++ b/src/placement/endpoint-loads.ts
@@ -23,7 +23,7 @@
 
 /** Consecutive failures after which an endpoint is suspect. */
 const SUSPECT_AFTER_FAILURES = 3;
-/** Time after its last failure at which a suspect endpoint gets a probe call, in milliseconds. */
+/** Time after its last failure at which a suspect endpoint gets a probe call. */
 const PROBE_AFTER_MS = 1000;
 
 /** How an endpoint handled a call that has ended. */
@@ -54,13 +54,9 @@
 export interface PoolTiming {
   /** Undefined until enough prompts have been read. */
   readonly prefillSpeed: PrefillSpeed | undefined;
-  /**
-   * Mean time from sending a call to the end of its answer, in milliseconds; 0 before the first.
-   */
+  /** Mean time from sending a call to the end of its answer; 0 before the first. */
   readonly meanRunMs: number;
-  /**
-   * Increase in the pause between stream events per running call, in milliseconds; 0 while unknown.
-   */
+  /** Increase in the pause between stream events per running call; 0 while unknown. */
   readonly pauseMsPerCall: number;
 }
 
@@ -79,10 +75,7 @@
   /** Time the endpoint takes to read prompts, relative to its pool; 1 while unknown. */
   getSlowdown(endpoint: RegisteredEndpoint, nowMs: number): number;
   getPoolTiming(pool: string): PoolTiming;
-  /**
-   * Mean pause between stream events at an engine with `running` calls, in milliseconds; undefined
-   * while unknown.
-   */
+  /** Mean pause between stream events at an engine with `running` calls; undefined while unknown. */
   predictPauseMs(pool: string, running: number, nowMs: number): number | undefined;
   /** Whether the endpoint should be skipped because calls of this instance failed in a row. */
   isSuspect(id: string, nowMs: number): boolean;
--- a/src/placement/engine-reserve.ts
+++ b/src/placement/engine-reserve.ts
@@ -13,9 +13,9 @@
 import { createMovingAverage } from '../utils/moving-average.js';
 import type { MovingAverage } from '../utils/moving-average.js';
 
-/** Streams that must have ended at other engines before their pauses decide. */
+/** Minimum number of ended streams at other engines before their pauses are used. */
 const STREAM_SAMPLES_MIN = 20;
-/** Share of these streams that must have paused for longer than the most urgent routes declare. */
+/** Minimum share of these streams with a pause longer than the most urgent routes declare. */
 const LATE_SHARE_MIN = 0.1;
 /** Pool size from which engines are reserved before enough streams have ended. */
 const DEFAULT_RESERVE_POOL_MIN = 24;
@@ -32,7 +32,7 @@
 /** Maximum share of a pool to reserve, so that other calls do not starve. */
 const POOL_SHARE_MAX = 0.33;
 /**
- * Half-life of the peak of urgent calls, in milliseconds. Each change moves shared prefixes, which
+ * Half-life of the peak of urgent calls. Each change of the reserve moves shared prefixes, which
  * then have to be read again.
  */
 const PEAK_HALF_LIFE_MS = 20_000;
@@ -46,13 +46,11 @@
   readonly endpoints: readonly RegisteredEndpoint[];
   /** Urgent calls of all instances running at an engine. */
   readonly countUrgent: (startId: string) => number;
-  /**
-   * Increase in the pause between stream events per running call, in milliseconds; 0 while unknown.
-   */
+  /** Increase in the pause between stream events per running call; 0 while unknown. */
   readonly pauseMsPerCall: number;
   /**
-   * Pause declared by the most urgent streams, in milliseconds; infinite if they declare none or
-   * the pool has no less urgent routes.
+   * Pause declared by the most urgent streams; infinite if they declare none or the pool has no
+   * less urgent routes.
    */
   readonly urgentPauseMs: number;
 }
@@ -61,7 +59,7 @@
 export interface EndedStream {
   readonly endpoint: string;
   readonly longestPauseMs: number;
-  /** Pause declared by the most urgent streams of the pool, in milliseconds. */
+  /** Pause declared by the most urgent streams of the pool. */
   readonly urgentPauseMs: number;
 }
 
@@ -90,7 +88,7 @@
 
 const NO_ENGINES: ReadonlySet<string> = new Set();
 
-/** Whether less urgent prompts are long and delay urgent streams beside them too much. */
+/** Whether less urgent prompts are long enough to stall urgent streams at the same engine. */
 function isUseful(
   { urgentTokens, otherTokens, lateShare }: PoolReserve,
   { endpoints, urgentPauseMs }: ReserveInput,
--- a/src/placement/failure-shares.ts
+++ b/src/placement/failure-shares.ts
@@ -13,7 +13,7 @@
   readonly failures: number;
 }
 
-/** Half-life of a call, in milliseconds. */
+/** Half-life of a recorded call. */
 const HALF_LIFE_MS = 3000;
 /**
  * A single failure may be caused by the call itself, so some failures are not counted and some
--- a/src/placement/hold-back.ts
+++ b/src/placement/hold-back.ts
@@ -50,13 +50,11 @@
   readonly slots: number;
   /** Whether the most urgent streams have reserved engines and none of them runs at this one. */
   readonly isIsolated: boolean;
-  /**
-   * Mean pause of streams predicted if the call is sent, in milliseconds; undefined while unknown.
-   */
+  /** Mean pause of streams predicted if the call is sent; undefined while unknown. */
   readonly pauseMs: number | undefined;
   /**
-   * Shortest pause declared by a more urgent route that uses this engine, in milliseconds; infinite
-   * if there is none.
+   * Shortest pause declared by a more urgent route that uses this engine; infinite if there is
+   * none.
    */
   readonly urgentPauseMs: number;
   readonly receivedMs: number;
@@ -108,9 +106,9 @@
   /** Rank among all calls; 0 is the most urgent. */
   readonly urgency: number;
   readonly receivedMs: number;
-  /** Target for the first event, measured from the call's arrival, in milliseconds. */
+  /** Target for the first event, measured from the call's arrival. */
   readonly targetMs: number;
-  /** Predicted time from sending the call to its first event, in milliseconds. */
+  /** Predicted time from sending the call to its first event. */
   readonly answerMs: number;
 }
 
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -52,8 +52,7 @@
     nowMs: number,
   ): Admission;
   /**
-   * Predicted time from sending the call to an idle engine to its first event, in milliseconds; 0
-   * while unknown.
+   * Predicted time from sending the call to an idle engine to its first event; 0 while unknown.
    */
   predictAnswerMs(call: RoutedCall): number;
   /** Records that the call is sent. */
@@ -78,8 +77,8 @@
   }
 
   /**
-   * Pause declared by the most urgent streams of the call's pool, in milliseconds; infinite if the
-   * pool has one priority only.
+   * Pause declared by the most urgent streams of the call's pool; infinite if the pool has only one
+   * priority.
    */
   function computeUrgentPauseMs({ route, pool }: RoutedCall): number {
     const { rank, ranks, urgentPauseMs } = options.getStanding(route, pool);
--- a/src/placement/reading-fit.ts
+++ b/src/placement/reading-fit.ts
@@ -11,7 +11,7 @@
 const SAMPLE_DECAY = 0.995;
 
 export interface PrefillSpeed {
-  /** Part of the time to the first event that does not depend on the prompt, in milliseconds. */
+  /** Part of the time to the first event that does not depend on the prompt. */
   readonly fixedMs: number;
   readonly msPerToken: number;
   /** Mean number of tokens read per prompt. */
--- a/src/placement/reading-pace.test.ts
+++ b/src/placement/reading-pace.test.ts
@@ -5,7 +5,7 @@
 import type { EndpointLoads } from './endpoint-loads.js';
 import { createPrefillFit } from './reading-fit.js';
 
-/** Part of the time to the first event that does not depend on the prompt, in milliseconds. */
+/** Part of the time to the first event that does not depend on the prompt. */
 const FIXED_MS = 45;
 
 function buildEndpoint(id: string): RegisteredEndpoint {
--- a/src/placement/reading-pace.ts
+++ b/src/placement/reading-pace.ts
@@ -9,13 +9,13 @@
 import type { DecayingSums } from '../utils/decaying-sums.js';
 import type { PrefillSpeed } from './reading-fit.js';
 
-/** Tokens read by an engine and the time taken, in milliseconds, with exponential decay. */
+/** Tokens read by an engine and the time taken, with exponential decay. */
 export interface PrefillSums {
   readonly readTokens: number;
   readonly readMs: number;
 }
 
-/** Half-life of a sample, in milliseconds. */
+/** Half-life of a sample. */
 const HALF_LIFE_MS = 2000;
 /** Weight of the pool's speed in the estimate, in prompts of mean size. */
 const PRIOR_PROMPTS = 4;
--- a/src/placement/stream-pace.test.ts
+++ b/src/placement/stream-pace.test.ts
@@ -2,9 +2,7 @@
 import { createPauseModel } from './stream-pace.js';
 import type { PauseModel } from './stream-pace.js';
 
-/**
- * Duration of a step without calls and its increase per call, in milliseconds, and steps per event.
- */
+/** Duration of a decoding step without calls, its increase per call, and steps per event. */
 const STEP_MS = 3.4;
 const CALL_MS = 0.2;
 const STEPS = 5;
--- a/src/placement/stream-pace.ts
+++ b/src/placement/stream-pace.ts
@@ -7,7 +7,7 @@
 import { createDecayingSums } from '../utils/decaying-sums.js';
 import { createLinearFit } from '../utils/linear-fit.js';
 
-/** Half-life of a recent pause, in milliseconds. */
+/** Half-life of a recorded pause. */
 const HALF_LIFE_MS = 500;
 /** Recent pauses required for a prediction, after decay. */
 const RECENT_PAUSES_MIN = 5;
@@ -19,12 +19,9 @@
 export interface PauseModel {
   /** Adds a pause between two events of a stream, at an engine with `running` calls. */
   add(pauseMs: number, running: number, nowMs: number): void;
-  /**
-   * Mean pause at an engine with `running` calls, in milliseconds; undefined with too few recent
-   * pauses.
-   */
+  /** Mean pause at an engine with `running` calls; undefined with too few recent pauses. */
   predictPauseMs(running: number, nowMs: number): number | undefined;
-  /** Increase in the pause per running call, in milliseconds; 0 while unknown. */
+  /** Increase in the pause per running call; 0 while unknown. */
   getMsPerCall(): number;
 }
 
--- a/src/placement/stream-times.ts
+++ b/src/placement/stream-times.ts
@@ -10,7 +10,7 @@
 
 export interface StreamRecord {
   readonly events: number;
-  /** Mean pause between two events, in milliseconds; 0 before the second event. */
+  /** Mean pause between two events; 0 before the second event. */
   readonly meanPauseMs: number;
   /** Undefined before the second event. */
   readonly longestPause: LongestPause | undefined;
