--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -73,9 +73,9 @@
   let generation = 0;
 
   /** Backoff with jitter after consecutive unsuccessful calls. */
-  function computePauseMs(attempts: number): number {
-    const pauseMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** Math.max(0, attempts - 1));
-    return pauseMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
+  function computeRetryDelayMs(attempts: number): number {
+    const delayMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** Math.max(0, attempts - 1));
+    return delayMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
   }
 
   function handleRows(response: Extract<FeedResponse, { kind: 'rows' }>): void {
@@ -102,13 +102,13 @@
         compactions += 1;
         // Guards against lists older than the compacted history: without a pause, list and refused
         // watch would alternate at full rate until the lists catch up.
-        return compactions === 1 ? 0 : computePauseMs(compactions - 1);
+        return compactions === 1 ? 0 : computeRetryDelayMs(compactions - 1);
       default:
         failures += 1;
         isConfirmed = false;
         reader.reset();
         listener.onLost(response.reason);
-        return computePauseMs(failures);
+        return computeRetryDelayMs(failures);
     }
   }
 
@@ -118,19 +118,19 @@
     return reader.watch(revision, isConfirmed ? options.getWaitMs() : 0);
   }
 
-  async function runCall(current: number): Promise<void> {
+  async function runCall(callGeneration: number): Promise<void> {
     const response = await fetchNext();
-    if (isStopped || current !== generation) return;
-    const pauseMs = handleResponse(response);
-    if (pauseMs > 0) timers.subscribeOnce(pauseMs, () => startCall(current));
-    else setImmediate(() => startCall(current));
+    if (isStopped || callGeneration !== generation) return;
+    const delayMs = handleResponse(response);
+    if (delayMs > 0) timers.subscribeOnce(delayMs, () => startCall(callGeneration));
+    else setImmediate(() => startCall(callGeneration));
   }
 
-  function startCall(current: number): void {
-    if (isStopped || isPaused || current !== generation) return;
-    runCall(current).catch((error: unknown) => {
+  function startCall(callGeneration: number): void {
+    if (isStopped || isPaused || callGeneration !== generation) return;
+    runCall(callGeneration).catch((error: unknown) => {
       listener.onLost(`the feed could not be read: ${String(error)}`);
-      timers.subscribeOnce(RETRY_MAX_MS, () => startCall(current));
+      timers.subscribeOnce(RETRY_MAX_MS, () => startCall(callGeneration));
     });
   }
 
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -125,7 +125,7 @@
           };
         },
       };
-      const turns: PlayedStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
+      const handovers: PlayedStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
         { machine, trouble: TROUBLE.Yield },
         ...buildQuietSteps(1200),
       ]);
@@ -133,7 +133,7 @@
         findBreach(
           runLeasePlay(
             2,
-            [...buildQuietSteps(FIRST_TAKEOVER_MS), ...turns],
+            [...buildQuietSteps(FIRST_TAKEOVER_MS), ...handovers],
             createRandom(seed),
             parts,
           ),
--- a/src/leases/lease.test.ts
+++ b/src/leases/lease.test.ts
@@ -69,7 +69,7 @@
   let inFlight: InFlightOrder[] = [];
   const arrivedFences: number[] = [];
 
-  const getMoment = (holder: Holder): ClockReading => ({
+  const getClocks = (holder: Holder): ClockReading => ({
     monotonicMs: holder.monotonicMs,
     wallMs: 1_000_000 + nowMs,
   });
@@ -78,7 +78,7 @@
     if (cutOff.has(holder)) return;
     if (command.kind === 'read') {
       const message = { kind: 'read' as const, lease: stored, newestVersion: 0 };
-      holder.queue.push(...holder.lease.handle(message, getMoment(holder)));
+      holder.queue.push(...holder.lease.handle(message, getClocks(holder)));
       return;
     }
     const isMet = (stored?.version ?? 0) === command.expectedVersion;
@@ -92,15 +92,15 @@
       writeId,
       result: isResponseLost ? ({ kind: 'lost' } as const) : result,
     };
-    holder.queue.push(...holder.lease.handle(message, getMoment(holder)));
+    holder.queue.push(...holder.lease.handle(message, getClocks(holder)));
   }
 
   function runHolder(holder: Holder, isResponseLost: boolean): void {
     if (holder.isPaused) return;
-    const moment = getMoment(holder);
-    holder.queue.push(...holder.lease.handle({ kind: 'tick', isWanted: true }, moment));
+    const clocks = getClocks(holder);
+    holder.queue.push(...holder.lease.handle({ kind: 'tick', isWanted: true }, clocks));
     for (const command of holder.queue.splice(0)) runCommand(holder, command, isResponseLost);
-    const fence = holder.lease.getGrant(getMoment(holder))?.fence;
+    const fence = holder.lease.getGrant(getClocks(holder))?.fence;
     if (fence !== undefined) inFlight.push({ fence, arrivesMs: nowMs + latencyMs });
   }
 
--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -73,7 +73,7 @@
   let aggregator: { readonly name: string; readonly sinceMs: number } | undefined;
   let aggregatorHeardMs = -Infinity;
   /** The aggregator that sent the loads in `remote`. */
-  let tableFrom: string | undefined;
+  let remoteLoadsSender: string | undefined;
   let lastSent = '';
   let periodsSinceSent = 0;
 
@@ -110,7 +110,7 @@
     remote.clear();
     groupLoads.clear();
     aggregator = undefined;
-    tableFrom = undefined;
+    remoteLoadsSender = undefined;
   }
 
   /**
@@ -155,19 +155,19 @@
   ): EndpointLoadShare[] {
     const sources = [...(reporters.get(member)?.sources ?? [])];
     const reported = sources.flatMap((source) => groupLoads.listFrom(source));
-    const own = new Map(reported.map((share) => [share.endpoint, share]));
+    const ownShares = new Map(reported.map((share) => [share.endpoint, share]));
     return fleet.flatMap((share) => {
-      const part = own.get(share.endpoint);
-      if (part === undefined) return [share];
+      const ownShare = ownShares.get(share.endpoint);
+      if (ownShare === undefined) return [share];
       const rest: EndpointLoadShare = {
         endpoint: share.endpoint,
-        running: share.running - part.running,
-        urgent: share.urgent - part.urgent,
-        unreadTokens: share.unreadTokens - part.unreadTokens,
-        answers: Math.max(0, share.answers - part.answers),
-        failures: Math.max(0, share.failures - part.failures),
-        readTokens: Math.max(0, share.readTokens - part.readTokens),
-        readMs: Math.max(0, share.readMs - part.readMs),
+        running: share.running - ownShare.running,
+        urgent: share.urgent - ownShare.urgent,
+        unreadTokens: share.unreadTokens - ownShare.unreadTokens,
+        answers: Math.max(0, share.answers - ownShare.answers),
+        failures: Math.max(0, share.failures - ownShare.failures),
+        readTokens: Math.max(0, share.readTokens - ownShare.readTokens),
+        readMs: Math.max(0, share.readMs - ownShare.readMs),
       };
       return rest.running > 0 || rest.readMs > 0 || rest.answers > 0 ? [rest] : [];
     });
@@ -229,8 +229,8 @@
     if (isAggregator || instance !== aggregator?.name) return;
     aggregatorHeardMs = nowMs;
     // Loads from the previous aggregator are used until the new one sends its own.
-    if (tableFrom !== instance) remote.clear();
-    tableFrom = instance;
+    if (remoteLoadsSender !== instance) remote.clear();
+    remoteLoadsSender = instance;
     for (const heard of heardDataCentres) dataCentresHeardMs.set(heard, nowMs);
     remote.set(`${instance}/${part}`, shares, true, nowMs);
   }
--- a/src/placement/engine-reserve.ts
+++ b/src/placement/engine-reserve.ts
@@ -105,9 +105,9 @@
   const maxPerEngine =
     pauseMsPerCall > 0 ? (urgentPauseMs * ADDED_PAUSE_SHARE_MAX) / pauseMsPerCall : Infinity;
   const needed = Math.ceil(peak / Math.max(1, Math.min(slots * TARGET_UTILIZATION, maxPerEngine)));
-  const least = Math.ceil(endpoints.length * POOL_SHARE_MIN);
-  const most = Math.max(1, Math.floor(endpoints.length * POOL_SHARE_MAX));
-  return Math.min(most, Math.max(least, needed));
+  const sizeMin = Math.ceil(endpoints.length * POOL_SHARE_MIN);
+  const sizeMax = Math.max(1, Math.floor(endpoints.length * POOL_SHARE_MAX));
+  return Math.min(sizeMax, Math.max(sizeMin, needed));
 }
 
 /**
@@ -179,9 +179,9 @@
     },
     choose(name, input, nowMs) {
       const pool = getPool(name);
-      const before = pool.size;
+      const previousSize = pool.size;
       if (nowMs - pool.updatedMs >= UPDATE_PERIOD_MS) updateSize(pool, input, nowMs);
-      if (pool.size !== before || pool.endpoints !== input.endpoints) {
+      if (pool.size !== previousSize || pool.endpoints !== input.endpoints) {
         pool.endpoints = input.endpoints;
         pool.reserved = pool.size === 0 ? NO_ENGINES : chooseReserved(input.endpoints, pool.size);
       }
--- a/src/placement/prompt-cost.ts
+++ b/src/placement/prompt-cost.ts
@@ -50,16 +50,16 @@
  * instance that knows the same endpoints.
  */
 export function findHomeEndpoint(
-  sharedPart: string,
+  sharedPrefix: string,
   endpoints: readonly RegisteredEndpoint[],
 ): RegisteredEndpoint | undefined {
-  const partHash = hashName(sharedPart);
+  const prefixHash = hashName(sharedPrefix);
   let home: RegisteredEndpoint | undefined;
-  let highest = -1;
+  let highestRank = -1;
   for (const endpoint of endpoints) {
-    const rank = hashPair(getHash(endpoint), partHash);
-    if (rank > highest) {
-      highest = rank;
+    const rank = hashPair(getHash(endpoint), prefixHash);
+    if (rank > highestRank) {
+      highestRank = rank;
       home = endpoint;
     }
   }
