--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -91,6 +91,7 @@
     else listener.onChanged(response.rows, response);
   }
 
+  /** Returns the delay before the next call, in milliseconds. */
   function handleResponse(response: FeedResponse): number {
     switch (response.kind) {
       case 'rows':
--- a/src/leases/lease-bounds.ts
+++ b/src/leases/lease-bounds.ts
@@ -20,8 +20,8 @@
   /** The holder stops acting this long before its lease ends. */
   readonly safetyMarginMs: number;
   /**
-   * Wait of a new holder for calls its predecessor sent; 0 if every call ends within the caller's
-   * grant.
+   * How long a new holder waits for calls that its predecessor sent; 0 if every call ends within
+   * the caller's grant.
    */
   readonly takeoverDelayMs: number;
   /** Interval at which other participants read the lease. */
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -91,7 +91,7 @@
       t.not(findBreaches(parts), undefined);
     });
 
-    it('survives a suspension that stops the monotonic clock', (t) => {
+    it('keeps its grant through a suspension that stops the monotonic clock', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
--- a/src/placement/hold-back.ts
+++ b/src/placement/hold-back.ts
@@ -87,8 +87,8 @@
 }
 
 /**
- * Engines refuse calls once their own queue is full. Only the most urgent calls may use part of
- * that queue; all others wait at this instance.
+ * Decides on one call. Only the most urgent calls may use part of the engine's own queue; all
+ * others wait at this instance, since an engine refuses calls once its queue is full.
  */
 export function chooseAdmission(input: AdmissionInput): Admission {
   const { rank, running, slots, receivedMs, deadlineMs, nowMs } = input;
