--- a/src/knowledge/feed-watcher.ts
+++ b/src/knowledge/feed-watcher.ts
@@ -33,7 +33,7 @@
   readonly listener: FeedListener;
   readonly timers: TimerService;
   readonly random: Random;
-  /** Long-poll timeout of the next watch, in milliseconds. */
+  /** Long-poll timeout of the next watch. */
   readonly getWaitMs: () => number;
   /**
    * Multiplier of the delay after a failed call.
@@ -73,9 +73,9 @@
   let generation = 0;
 
   /** Backoff with jitter after consecutive unsuccessful calls. */
-  function computePauseMs(attempts: number): number {
-    const pauseMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** Math.max(0, attempts - 1));
-    return pauseMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
+  function computeRetryDelayMs(attempts: number): number {
+    const delayMs = Math.min(RETRY_MAX_MS, RETRY_MIN_MS * 2 ** Math.max(0, attempts - 1));
+    return delayMs * (options.getPauseFactor?.() ?? 1) * (0.5 + random.next() / 2);
   }
 
   function handleRows(response: Extract<FeedResponse, { kind: 'rows' }>): void {
@@ -91,6 +91,7 @@
     else listener.onChanged(response.rows, response);
   }
 
+  /** Returns the delay before the next call, in milliseconds. */
   function handleResponse(response: FeedResponse): number {
     switch (response.kind) {
       case 'rows':
@@ -102,13 +103,13 @@
         compactions += 1;
         // Guards against lists older than the compacted history: without a pause, list and refused
         // watch would alternate at full rate until the lists catch up.
-        return compactions === 1 ? 0 : computePauseMs(compactions - 1);
+        return compactions === 1 ? 0 : computeRetryDelayMs(compactions - 1);
       default:
         failures += 1;
         isConfirmed = false;
         reader.reset();
         listener.onLost(response.reason);
-        return computePauseMs(failures);
+        return computeRetryDelayMs(failures);
     }
   }
 
@@ -118,19 +119,19 @@
     return reader.watch(revision, isConfirmed ? options.getWaitMs() : 0);
   }
 
-  async function runCall(current: number): Promise<void> {
+  async function runCall(callGeneration: number): Promise<void> {
     const response = await fetchNext();
-    if (isStopped || current !== generation) return;
-    const pauseMs = handleResponse(response);
-    if (pauseMs > 0) timers.subscribeOnce(pauseMs, () => startCall(current));
-    else setImmediate(() => startCall(current));
+    if (isStopped || callGeneration !== generation) return;
+    const delayMs = handleResponse(response);
+    if (delayMs > 0) timers.subscribeOnce(delayMs, () => startCall(callGeneration));
+    else setImmediate(() => startCall(callGeneration));
   }
 
-  function startCall(current: number): void {
-    if (isStopped || isPaused || current !== generation) return;
-    runCall(current).catch((error: unknown) => {
+  function startCall(callGeneration: number): void {
+    if (isStopped || isPaused || callGeneration !== generation) return;
+    runCall(callGeneration).catch((error: unknown) => {
       listener.onLost(`the feed could not be read: ${String(error)}`);
-      timers.subscribeOnce(RETRY_MAX_MS, () => startCall(current));
+      timers.subscribeOnce(RETRY_MAX_MS, () => startCall(callGeneration));
     });
   }
 
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -7,7 +7,7 @@
 import type { LeaseOptions } from './lease.js';
 
 const STEP_MS = 50;
-/** Time by which the first holder has the lease, in milliseconds. */
+/** Time by which the first holder has the lease. */
 const FIRST_TAKEOVER_MS = 6000;
 /** Schedules per run; `LEASE_RUNS` overrides the number. */
 const RUNS = Number(process.env.LEASE_RUNS ?? 1000);
@@ -91,7 +91,7 @@
       t.not(findBreaches(parts), undefined);
     });
 
-    it('survives a suspension that stops the monotonic clock', (t) => {
+    it('keeps its grant through a suspension that stops the monotonic clock', (t) => {
       const parts: LeaseParts = {
         createLease(options) {
           const lease = createLease(options);
@@ -125,7 +125,7 @@
           };
         },
       };
-      const turns: PlayedStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
+      const handovers: PlayedStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
         { machine, trouble: TROUBLE.Yield },
         ...buildQuietSteps(1200),
       ]);
@@ -133,7 +133,7 @@
         findBreach(
           runLeasePlay(
             2,
-            [...buildQuietSteps(FIRST_TAKEOVER_MS), ...turns],
+            [...buildQuietSteps(FIRST_TAKEOVER_MS), ...handovers],
             createRandom(seed),
             parts,
           ),
--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -15,17 +15,16 @@
 import { LOAD_SCOPE } from './load-update.js';
 import type { AddressedLoadUpdate, ReceivedLoadUpdate } from './load-update.js';
 
-/** Period of load updates, in milliseconds. */
 export const LOAD_UPDATE_PERIOD_MS = 100;
 /** Periods after which an unchanged update is repeated, as a heartbeat. */
 const HEARTBEAT_PERIODS = 3;
-/** Age at which reported loads are removed, in milliseconds: three lost heartbeats. */
+/** Age at which reported loads are removed: three lost heartbeats. */
 const REMOTE_LOAD_AGE_MAX_MS = 1000;
-/** Time without an update after which an aggregator is skipped, in milliseconds. */
+/** Time without an update after which an aggregator is skipped. */
 const AGGREGATOR_TIMEOUT_MS = 500;
-/** Time for which it is skipped, in milliseconds, by when membership has detected a failure. */
+/** Time for which it is skipped; membership detects a failure within this time. */
 const AGGREGATOR_BACKOFF_MS = 3000;
-/** Time for which a data centre counts as heard after its last update, in milliseconds. */
+/** Time for which a data centre counts as heard after its last update. */
 const DATA_CENTRE_TIMEOUT_MS = 400;
 /** Periods between refreshes of the list of instances. */
 const FLEET_REFRESH_PERIODS = 5;
@@ -61,10 +60,10 @@
   const groupLoads = createRemoteLoads();
   /** Instances that report to this one, and the sources under which their loads are stored. */
   const reporters = new Map<string, Reporter>();
-  /** When each aggregator and each data centre was last heard, in milliseconds. */
+  /** When each aggregator and each data centre was last heard. */
   const aggregatorsHeardMs = new Map<string, number>();
   const dataCentresHeardMs = new Map<string, number>();
-  /** Aggregators that do not answer, and until when they are skipped, in milliseconds. */
+  /** Aggregators that do not answer, and until when they are skipped. */
   const skippedUntilMs = new Map<string, number>();
   let addresses = new Map<string, string>();
   let aggregators: string[] = [];
@@ -74,7 +73,7 @@
   let aggregator: { readonly name: string; readonly sinceMs: number } | undefined;
   let aggregatorHeardMs = -Infinity;
   /** The aggregator that sent the loads in `remote`. */
-  let tableFrom: string | undefined;
+  let remoteLoadsSender: string | undefined;
   let lastSent = '';
   let periodsSinceSent = 0;
 
@@ -111,7 +110,7 @@
     remote.clear();
     groupLoads.clear();
     aggregator = undefined;
-    tableFrom = undefined;
+    remoteLoadsSender = undefined;
   }
 
   /**
@@ -156,19 +155,19 @@
   ): EndpointLoadShare[] {
     const sources = [...(reporters.get(member)?.sources ?? [])];
     const reported = sources.flatMap((source) => groupLoads.listFrom(source));
-    const own = new Map(reported.map((share) => [share.endpoint, share]));
+    const ownShares = new Map(reported.map((share) => [share.endpoint, share]));
     return fleet.flatMap((share) => {
-      const part = own.get(share.endpoint);
-      if (part === undefined) return [share];
+      const ownShare = ownShares.get(share.endpoint);
+      if (ownShare === undefined) return [share];
       const rest: EndpointLoadShare = {
         endpoint: share.endpoint,
-        running: share.running - part.running,
-        urgent: share.urgent - part.urgent,
-        unreadTokens: share.unreadTokens - part.unreadTokens,
-        answers: Math.max(0, share.answers - part.answers),
-        failures: Math.max(0, share.failures - part.failures),
-        readTokens: Math.max(0, share.readTokens - part.readTokens),
-        readMs: Math.max(0, share.readMs - part.readMs),
+        running: share.running - ownShare.running,
+        urgent: share.urgent - ownShare.urgent,
+        unreadTokens: share.unreadTokens - ownShare.unreadTokens,
+        answers: Math.max(0, share.answers - ownShare.answers),
+        failures: Math.max(0, share.failures - ownShare.failures),
+        readTokens: Math.max(0, share.readTokens - ownShare.readTokens),
+        readMs: Math.max(0, share.readMs - ownShare.readMs),
       };
       return rest.running > 0 || rest.readMs > 0 || rest.answers > 0 ? [rest] : [];
     });
@@ -230,8 +229,8 @@
     if (isAggregator || instance !== aggregator?.name) return;
     aggregatorHeardMs = nowMs;
     // Loads from the previous aggregator are used until the new one sends its own.
-    if (tableFrom !== instance) remote.clear();
-    tableFrom = instance;
+    if (remoteLoadsSender !== instance) remote.clear();
+    remoteLoadsSender = instance;
     for (const heard of heardDataCentres) dataCentresHeardMs.set(heard, nowMs);
     remote.set(`${instance}/${part}`, shares, true, nowMs);
   }
