--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -198,9 +198,9 @@
     quarantine,
     knowledge: {
       ...knowledge,
-      setDuty(duty) {
-        knowledge.setDuty(duty);
-        quarantineControl.setReading(duty.kind === 'watch');
+      setRole(role) {
+        knowledge.setRole(role);
+        quarantineControl.setReading(role.kind === 'watch');
       },
     },
     knowledgeAgeMaxMs: RECENT_KNOWLEDGE_MAX_MS,
--- a/src/gateway/knowledge-store.test.ts
+++ b/src/gateway/knowledge-store.test.ts
@@ -125,7 +125,7 @@
   }
 }
 
-function createHarness(t: ExecutionContext, duty = WATCH) {
+function createHarness(t: ExecutionContext, role = WATCH) {
   const timers = createTimerService(createSystemClock());
   const configuration = createTable([{ key: 'config', value: '7' }]);
   const endpoints = createTable([
@@ -149,7 +149,7 @@
     store.stop();
     timers.stop();
   });
-  store.setDuty(duty);
+  store.setRole(role);
   return {
     store,
     ended,
@@ -268,7 +268,7 @@
   it('keeps lapsed endpoints as long as the peer that it follows', async (t) => {
     const follower = createHarness(t);
     await follower.waitUntilWatched();
-    follower.store.setDuty(FOLLOW);
+    follower.store.setRole(FOLLOW);
     const answer = (renewalLeftMs: number, revision: number, rows: readonly FeedRow[]): void =>
       follower.store.applyResponse(
         'watcher',
@@ -344,7 +344,7 @@
     const harness = createHarness(t, { ...WATCH, isLeading: false });
     await harness.waitUntilWatched();
     const calls = harness.configuration.countCalls();
-    harness.store.setDuty(WATCH);
+    harness.store.setRole(WATCH);
     await waitMs(30);
     t.true(harness.configuration.countCalls() > calls);
   });
--- a/src/gateway/knowledge-store.ts
+++ b/src/gateway/knowledge-store.ts
@@ -63,7 +63,7 @@
   /** Applies a peer's response to a request that was sent at `sentMs`. */
   applyResponse(peer: string, response: FetchKnowledgeResponse, sentMs: number): void;
   /** Sets whether this instance watches the source itself; by default it relies on peers. */
-  setDuty(duty: WatchRole): void;
+  setRole(role: WatchRole): void;
   stop(): void;
 }
 
@@ -78,7 +78,7 @@
   const behindDetector = createFeedLagDetector();
   let trustedSinceMs = -Infinity;
   let isSourceLost = false;
-  let duty: WatchRole = { kind: 'follow' };
+  let role: WatchRole = { kind: 'follow' };
   const getNow = (): number => timers.clock.monotonicMs();
 
   /** Invalidates confirmations after a suspension, since its duration is unknown. */
@@ -87,7 +87,7 @@
     trustedSinceMs = getNow();
     sourceClock.reset();
     log.write({ event: 'clocks_parted', configurationVersion: knowledge.getVersion() });
-    if (duty.kind === 'watch') {
+    if (role.kind === 'watch') {
       configurationWatcher.restart();
       endpointWatcher.restart();
     }
@@ -186,11 +186,11 @@
   }
 
   function getWaitMs(): number {
-    return duty.kind === 'watch' && duty.isLeading ? LEADING_WATCH_WAIT_MS : STANDBY_WATCH_WAIT_MS;
+    return role.kind === 'watch' && role.isLeading ? LEADING_WATCH_WAIT_MS : STANDBY_WATCH_WAIT_MS;
   }
 
   function getPauseFactor(): number {
-    return duty.kind === 'watch' ? duty.pauseFactor : 1;
+    return role.kind === 'watch' ? role.pauseFactor : 1;
   }
 
   const configurationWatcher = startFeedWatcher({
@@ -295,7 +295,7 @@
   }
 
   function checkBehind(endpointsRevision: number): void {
-    if (duty.kind === 'follow') behindDetector.reset();
+    if (role.kind === 'follow') behindDetector.reset();
     else if (behindDetector.checkLag(endpointsRevision, endpointRows.getRevision(), getNow())) {
       endpointWatcher.restart();
     }
@@ -325,7 +325,7 @@
       }
       checkBehind(endpointsRevision);
       const isPeerAhead = isNewer || endpointsRevision > endpointRows.getContentRevision();
-      return isPeerAhead && (duty.kind === 'follow' || isSourceLost);
+      return isPeerAhead && (role.kind === 'follow' || isSourceLost);
     },
     buildResponse(request) {
       const configuration = buildConfigurationTable(request.configurationRevision);
@@ -347,21 +347,21 @@
       if (sourceNowMs !== undefined) sourceClock.record({ sourceNowMs, sentMs });
       if (configuration !== undefined) applyConfigurationTable(configuration, peer);
       // The feed of this instance takes precedence while it answers.
-      const isNeeded = duty.kind === 'follow' || isSourceLost || endpointRows.getRevision() === 0;
+      const isNeeded = role.kind === 'follow' || isSourceLost || endpointRows.getRevision() === 0;
       if (isNeeded && endpoints !== undefined) applyEndpointTable(endpoints, renewalLeftMs, peer);
     },
-    setDuty(nextDuty) {
-      const previousDuty = duty;
-      duty = nextDuty;
-      if (nextDuty.kind !== previousDuty.kind) {
-        const isWatching = nextDuty.kind === 'watch';
+    setRole(nextRole) {
+      const previousRole = role;
+      role = nextRole;
+      if (nextRole.kind !== previousRole.kind) {
+        const isWatching = nextRole.kind === 'watch';
         log.write({ event: 'watching_changed', isWatching });
         if (isWatching) startWatching();
         else stopWatching();
         return;
       }
-      const wasLeading = previousDuty.kind === 'watch' && previousDuty.isLeading;
-      if (nextDuty.kind === 'follow' || !nextDuty.isLeading || wasLeading) return;
+      const wasLeading = previousRole.kind === 'watch' && previousRole.isLeading;
+      if (nextRole.kind === 'follow' || !nextRole.isLeading || wasLeading) return;
       // A pending watch would wait for seconds, but a confirmation is needed now.
       configurationWatcher.restart();
       endpointWatcher.restart();
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -30,8 +30,8 @@
 const PROBE_PERIOD_MS = 2000;
 /** Interval at which the timeouts of membership probes are checked. */
 const MEMBERSHIP_TICK_MS = 100;
-/** Interval at which the watch duty is updated and outdated knowledge is fetched from peers. */
-const WATCH_DUTY_PERIOD_MS = 300;
+/** Interval at which the watch role is updated and outdated knowledge is fetched from peers. */
+const WATCH_ROLE_PERIOD_MS = 300;
 const FETCH_PEERS_COUNT = 2;
 
 export interface PeerExchangeOptions {
@@ -47,10 +47,10 @@
   readonly time: FleetTime;
   readonly instances: InstanceListClient;
   readonly loads: EndpointLoads;
-  readonly quarantine: Pick<Quarantine, 'takeTold' | 'merge'>;
+  readonly quarantine: Pick<Quarantine, 'takeReports' | 'merge'>;
   readonly knowledge: Pick<
     KnowledgeStore,
-    'applyResponse' | 'applySummary' | 'computeAge' | 'getSummary' | 'setDuty'
+    'applyResponse' | 'applySummary' | 'computeAge' | 'getSummary' | 'setRole'
   >;
   /** Knowledge older than this is fetched from peers. */
   readonly knowledgeAgeMaxMs: number;
@@ -83,7 +83,7 @@
   const { self, timers, random, log, links, loads, knowledge, seeds } = options;
   const getNow = (): number => timers.clock.monotonicMs();
   const reachability = createReachability(self.dataCentre);
-  const watchDuty = createWatchRoleSelector(getNow());
+  const roleSelector = createWatchRoleSelector(getNow());
   const hasContacts = seeds.length > 0 && !seeds.includes(self.address);
   let isListed = false;
   let unreachableDataCentres: ReadonlySet<string> = new Set();
@@ -171,7 +171,7 @@
   function sendCases(updates: readonly AddressedLoadUpdate[]): void {
     const addresses = [...new Set(updates.flatMap((update) => update.addresses))];
     if (addresses.length === 0) return;
-    const cases = options.quarantine.takeTold();
+    const cases = options.quarantine.takeReports();
     if (cases.length > 0) options.datagrams.sendCases(addresses, cases);
   }
 
@@ -181,10 +181,10 @@
     otherCandidates = alive.filter(({ name }) => names.has(name) && name !== self.name);
   }
 
-  function advanceWatchDuty(): void {
+  function advanceWatchRole(): void {
     const alive = listAlive().filter(({ dataCentre }) => !unreachableDataCentres.has(dataCentre));
     updateDutyCandidates(alive);
-    const duty = watchDuty.advance(
+    const role = roleSelector.advance(
       {
         self: self.name,
         alive,
@@ -193,10 +193,10 @@
       },
       getNow(),
     );
-    isListed = duty.kind === 'watch' && duty.isListed;
+    isListed = role.kind === 'watch' && role.isListed;
     // Not derived from the live instances: a starting instance knows none and would choose itself.
     isCandidate = isListed;
-    knowledge.setDuty(duty);
+    knowledge.setRole(role);
   }
 
   timers.subscribe(LOAD_UPDATE_PERIOD_MS, () => {
@@ -207,11 +207,11 @@
     for (const update of updates) options.datagrams.sendLoads(update, summary, time);
     sendCases(updates);
   });
-  timers.subscribe(WATCH_DUTY_PERIOD_MS, () => {
-    advanceWatchDuty();
+  timers.subscribe(WATCH_ROLE_PERIOD_MS, () => {
+    advanceWatchRole();
     if (knowledge.computeAge() > options.knowledgeAgeMaxMs) startKnowledgeFetches();
   });
-  timers.subscribeOnce(0, advanceWatchDuty);
+  timers.subscribeOnce(0, advanceWatchRole);
 
   return {
     handlePeerStatus(status) {
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -87,7 +87,7 @@
   /** The registry reports that this start of the endpoint has ended. */
   recordEnded(endpoint: RegisteredEndpoint): void;
   /** Returns the cases to report to peers now. */
-  takeTold(): CaseReport[];
+  takeReports(): CaseReport[];
   merge(reports: readonly CaseReport[], source: string): void;
   list(): readonly CrashCase[];
   /** Releases a content for an operator; false if no crashes count against it. */
@@ -298,7 +298,7 @@
     startWatch,
     isInTrial: ({ startId }) => trials.hasAny() && trials.isInTrial(hashStartId(startId)),
     recordEnded: (endpoint) => detector.recordEnded(endpoint),
-    takeTold: () => (ledger.isEmpty() ? [] : outbox.take(ledger.list(), getNow())),
+    takeReports: () => (ledger.isEmpty() ? [] : outbox.take(ledger.list(), getNow())),
     merge(reports, source) {
       for (const report of reports) {
         recordChange(ledger.merge(report, getNow()), source);
--- a/src/test/played-instance.ts
+++ b/src/test/played-instance.ts
@@ -99,7 +99,7 @@
       applySummary: () => false,
       computeAge: () => 0,
       getSummary: () => ({ configurationRevision: 1, endpointsRevision: 1, confirmedAtMs: 0 }),
-      setDuty: () => undefined,
+      setRole: () => undefined,
     },
     knowledgeAgeMaxMs: Infinity,
     isLeaving: () => false,
