--- a/src/duties/pool-scaler.test.ts
+++ b/src/duties/pool-scaler.test.ts
@@ -53,7 +53,7 @@
       scaling: SCALING,
       running: ['a', 'b'].map((dataCentre) => ({
         dataCentre,
-        lasting: counts.get(`${dataCentre}|false`) ?? 0,
+        onDemand: counts.get(`${dataCentre}|false`) ?? 0,
         spot: counts.get(`${dataCentre}|true`) ?? 0,
       })),
       backlogMs,
--- a/src/duties/pool-scaler.ts
+++ b/src/duties/pool-scaler.ts
@@ -92,7 +92,7 @@
 }
 
 function countRunning(running: readonly RunningCount[]): number {
-  return running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+  return running.reduce((sum, { onDemand, spot }) => sum + onDemand + spot, 0);
 }
 
 function parseDocument(row: DutyRow | undefined): readonly PoolDocument[] {
@@ -164,7 +164,7 @@
     for (const target of state.targets.values()) {
       const { dataCentre, isSpot, count } = target.request;
       const local = running.find((each) => each.dataCentre === dataCentre);
-      const runningCount = (isSpot ? local?.spot : local?.lasting) ?? 0;
+      const runningCount = (isSpot ? local?.spot : local?.onDemand) ?? 0;
       const isOverdue = nowMs - target.answeredMs > scaling.bootMs + BOOT_GRACE_MS;
       if (target.isAccepted && runningCount < count && isOverdue) target.isAccepted = false;
     }
@@ -190,7 +190,7 @@
     for (const desired of computeDesired({ ...input, peakCount: state.peakCount })) {
       const { dataCentre } = desired;
       const requests: ScaleRequest[] = [
-        { pool, dataCentre, isSpot: false, count: desired.lasting },
+        { pool, dataCentre, isSpot: false, count: desired.onDemand },
         { pool, dataCentre, isSpot: true, count: desired.spot },
       ];
       for (const request of requests) {
--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -12,8 +12,8 @@
   spotPrice: 0.22,
 };
 
-function buildRunning(lasting: number, spot: number): RunningCount[] {
-  return SCALING.dataCentres.map((dataCentre) => ({ dataCentre, lasting, spot }));
+function buildRunning(onDemand: number, spot: number): RunningCount[] {
+  return SCALING.dataCentres.map((dataCentre) => ({ dataCentre, onDemand, spot }));
 }
 
 function buildInput(changes: Partial<SizingInput>): SizingInput {
@@ -36,16 +36,16 @@
 }
 
 function countAll(running: readonly RunningCount[]): number {
-  return running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+  return running.reduce((sum, { onDemand, spot }) => sum + onDemand + spot, 0);
 }
 
 describe('pool sizing', ({ it }) => {
   it('leaves the pool unchanged if spot capacity is not cheaper', (t) => {
     const scaling = { ...SCALING, spotPrice: undefined };
     t.deepEqual(computeDesired(buildInput({ scaling })), []);
-    const running = [20, 14, 8].map((lasting, index) => ({
+    const running = [20, 14, 8].map((onDemand, index) => ({
       dataCentre: `d${index}`,
-      lasting,
+      onDemand,
       spot: 0,
     }));
     t.deepEqual(computeDesired(buildInput({ scaling, running, backlogMs: 1000 })), []);
@@ -53,7 +53,7 @@
 
   it('keeps on-demand endpoints until spot endpoints replace them', (t) => {
     const [first] = computeDesired(buildInput({}));
-    t.is(first?.lasting, 14);
+    t.is(first?.onDemand, 14);
     t.is(first?.spot, 14);
   });
 
@@ -62,7 +62,7 @@
   it('keeps a third of headroom after the loss of one data centre’s spot endpoints', (t) => {
     const running = runUntilStable(buildInput({}));
     for (const lost of running) t.true(countAll(running) - lost.spot >= 56);
-    const onDemandCount = running.reduce((sum, each) => sum + each.lasting, 0);
+    const onDemandCount = running.reduce((sum, each) => sum + each.onDemand, 0);
     t.true(onDemandCount <= 42 * 0.25, JSON.stringify(running));
   });
 
@@ -71,8 +71,8 @@
     const loaded = computeDesired(buildInput({ running: idle, backlogMs: 400 }));
     t.true(countAll(loaded) > countAll(idle));
     t.deepEqual(
-      loaded.map(({ lasting }) => lasting),
-      idle.map(({ lasting }) => lasting),
+      loaded.map(({ onDemand }) => onDemand),
+      idle.map(({ onDemand }) => onDemand),
     );
   });
 
@@ -82,13 +82,13 @@
       buildInput({ running: running.map((p) => ({ ...p, spot: 0 })) }),
     );
     t.deepEqual(
-      withoutSpot.map(({ lasting }) => lasting),
+      withoutSpot.map(({ onDemand }) => onDemand),
       [14, 14, 14],
     );
   });
 
   it('stays within the configured bounds for any input', (t) => {
-    const presence = fc.record({ lasting: fc.nat(40), spot: fc.nat(40) });
+    const presence = fc.record({ onDemand: fc.nat(40), spot: fc.nat(40) });
     const property = fc.property(
       fc.array(presence, { minLength: 1, maxLength: 5 }),
       fc.nat(200),
@@ -99,11 +99,11 @@
         const scaling = { ...SCALING, spotPrice };
         const desired = computeDesired(buildInput({ running, baseline, backlogMs, scaling }));
         return desired.every(
-          ({ lasting, spot }) =>
-            Number.isInteger(lasting + spot) &&
+          ({ onDemand, spot }) =>
+            Number.isInteger(onDemand + spot) &&
             spot >= 0 &&
-            lasting >= SCALING.min &&
-            lasting + spot <= SCALING.max,
+            onDemand >= SCALING.min &&
+            onDemand + spot <= SCALING.max,
         );
       },
     );
--- a/src/duties/pool-sizing.ts
+++ b/src/duties/pool-sizing.ts
@@ -22,14 +22,14 @@
 export interface RunningCount {
   readonly dataCentre: string;
   /** On-demand endpoints that accept calls; `spot` counts spot endpoints that do. */
-  readonly lasting: number;
+  readonly onDemand: number;
   readonly spot: number;
 }
 
 /** Desired endpoints of a pool in one data centre. */
 export interface DesiredCount {
   readonly dataCentre: string;
-  readonly lasting: number;
+  readonly onDemand: number;
   readonly spot: number;
 }
 
@@ -53,7 +53,7 @@
 /** Number of endpoints that the load requires. */
 export function computeRequiredCount(input: SizingInput): number {
   const { running, baseline, peakCount, backlogMs, targetMs } = input;
-  const runningCount = running.reduce((sum, { lasting, spot }) => sum + lasting + spot, 0);
+  const runningCount = running.reduce((sum, { onDemand, spot }) => sum + onDemand + spot, 0);
   const factor = Math.min(GROWTH_FACTOR_MAX, backlogMs / (targetMs * BACKLOG_TARGET_SHARE));
   const grown = factor > 1 ? Math.ceil(runningCount * factor) : 0;
   return Math.max(Math.ceil(baseline * HEADROOM_FACTOR), peakCount, grown);
@@ -61,10 +61,10 @@
 
 function computeSpotPerDataCentre(
   requiredCount: number,
-  lasting: number,
+  onDemand: number,
   dataCentres: number,
 ): number {
-  const remainder = Math.max(0, requiredCount - lasting * dataCentres);
+  const remainder = Math.max(0, requiredCount - onDemand * dataCentres);
   return Math.ceil(remainder / Math.max(1, dataCentres - 1));
 }
 
@@ -86,15 +86,15 @@
   const shortfall = Math.max(0, input.baseline - runningSpot);
   const targetOnDemand = Math.max(minOnDemand, Math.ceil(shortfall / dataCentres));
   return running.map((each) => {
-    const stepDownFloor = Math.floor(each.lasting * ON_DEMAND_REMAINING_SHARE);
-    const lasting = Math.min(
+    const stepDownFloor = Math.floor(each.onDemand * ON_DEMAND_REMAINING_SHARE);
+    const onDemand = Math.min(
       scaling.max,
-      Math.max(targetOnDemand, Math.min(each.lasting, stepDownFloor)),
+      Math.max(targetOnDemand, Math.min(each.onDemand, stepDownFloor)),
     );
     return {
       dataCentre: each.dataCentre,
-      lasting,
-      spot: Math.max(0, Math.min(spot, scaling.max - lasting)),
+      onDemand,
+      spot: Math.max(0, Math.min(spot, scaling.max - onDemand)),
     };
   });
 }
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -87,12 +87,12 @@
 
   function listPresent(pool: string, scaling: ScalingLimits): RunningCount[] {
     const endpoints = directory.listAll().filter((endpoint) => endpoint.pool === pool);
-    const present = new Map<string, { lasting: number; spot: number }>();
+    const present = new Map<string, { onDemand: number; spot: number }>();
     const names = [...scaling.dataCentres, ...endpoints.map(({ dataCentre }) => dataCentre)];
-    for (const name of names) present.set(name, { lasting: 0, spot: 0 });
+    for (const name of names) present.set(name, { onDemand: 0, spot: 0 });
     for (const { dataCentre, isLeaving, isSpot } of endpoints) {
       const counts = present.get(dataCentre);
-      if (counts !== undefined && !isLeaving) counts[isSpot ? 'spot' : 'lasting'] += 1;
+      if (counts !== undefined && !isLeaving) counts[isSpot ? 'spot' : 'onDemand'] += 1;
     }
     return [...present].map(([dataCentre, counts]) => ({ dataCentre, ...counts }));
   }
