--- a/src/gateway/knowledge-store.test.ts
+++ b/src/gateway/knowledge-store.test.ts
@@ -119,7 +119,9 @@
 async function waitUntil(state: string, isReached: () => boolean): Promise<void> {
   const endMs = performance.now() + WAIT_MAX_MS;
   while (!isReached()) {
-    if (performance.now() > endMs) throw new Error(`waited ${WAIT_MAX_MS} ms in vain: ${state}`);
+    if (performance.now() > endMs)
+      throw new Error(`timed out after ${WAIT_MAX_MS} ms waiting for: ${state}`);
+    // Polls until the state is reached.
     // eslint-disable-next-line no-await-in-loop
     await waitMs(WAIT_STEP_MS);
   }
--- a/src/quarantine/case-propagation.test.ts
+++ b/src/quarantine/case-propagation.test.ts
@@ -58,6 +58,7 @@
   );
   const isKnown = ({ quarantine }: PlayedInstance): boolean => quarantine.list().length > 0;
   while (!instances.every(isKnown) && time.getNow() < DISCOVERY_MS + 10 * NOTICE_MAX_MS) {
+    // Each step depends on the previous one.
     // eslint-disable-next-line no-await-in-loop
     await time.runUntil(time.getNow() + STEP_MS);
   }
@@ -74,6 +75,7 @@
   ]) {
     it(`reaches the last of ${count} instances in time`, async (t) => {
       for (const seed of SEEDS) {
+        // One simulated fleet at a time.
         // eslint-disable-next-line no-await-in-loop
         const tookMs = await runPropagation(count, dataCentres, seed);
         t.log(`seed ${seed}: ${tookMs} ms`);
--- a/src/quarantine/crash-detector.test.ts
+++ b/src/quarantine/crash-detector.test.ts
@@ -79,6 +79,7 @@
     for (const acceptance of [CONNECTION_RESULT.Accepted, CONNECTION_RESULT.Unreachable]) {
       const { detector, crashes } = createSetup(acceptance);
       detector.recordInterrupted(ENDPOINT, buildAnswer('x', 0));
+      // The check must finish before the registry reports the end.
       // eslint-disable-next-line no-await-in-loop
       await waitForPromises();
       detector.recordEnded(ENDPOINT);
@@ -121,6 +122,7 @@
     const { detector, crashes } = createSetup(CONNECTION_RESULT.Accepted);
     for (let second = 0; second <= 60; second += 1) {
       detector.recordInterrupted(ENDPOINT, buildAnswer(`at-${second}`, second * 1000));
+      // Each check must finish before the clock advances.
       // eslint-disable-next-line no-await-in-loop
       await waitForPromises();
       detector.advance(second * 1000);
--- a/src/quarantine/trials.test.ts
+++ b/src/quarantine/trials.test.ts
@@ -71,6 +71,7 @@
     for (let ms = 0; ms <= 1000; ms += 25) {
       setNow(ms);
       t.false(trials.isDue(subject));
+      // Each lease request must finish before the clock advances.
       // eslint-disable-next-line no-await-in-loop
       await waitForPromises();
     }
