--- a/src/duties/pool-scaler.ts
+++ b/src/duties/pool-scaler.ts
@@ -248,7 +248,7 @@
     }
     const isStale = knowledgeAgeMs > KNOWLEDGE_AGE_MAX_MS;
     removeUndeclared(pools);
-    for (const sized of pools) updatePool(sized, isStale, nowMs);
+    for (const load of pools) updatePool(load, isStale, nowMs);
     if (!isStored && pendingChange === undefined) {
       pendingChange = buildChange();
       pendingRevision = targetsRevision;
--- a/src/duties/pool-sizing.test.ts
+++ b/src/duties/pool-sizing.test.ts
@@ -88,9 +88,9 @@
   });
 
   it('stays within the configured bounds for any input', (t) => {
-    const presence = fc.record({ onDemand: fc.nat(40), spot: fc.nat(40) });
+    const runningCounts = fc.record({ onDemand: fc.nat(40), spot: fc.nat(40) });
     const property = fc.property(
-      fc.array(presence, { minLength: 1, maxLength: 5 }),
+      fc.array(runningCounts, { minLength: 1, maxLength: 5 }),
       fc.nat(200),
       fc.double({ min: 0, max: 1e6, noNaN: true }),
       fc.option(fc.double({ min: 0.01, max: 2, noNaN: true }), { nil: undefined }),
--- a/src/duties/usage-meter.test.ts
+++ b/src/duties/usage-meter.test.ts
@@ -50,14 +50,14 @@
         const expected = createUsageLedger();
         const updateMessages = calls.map(({ source, window, organisation }) => {
           expected.add(source, window, organisation);
-          return { source, shares: expected.listBySource(source) };
+          return { source, windows: expected.listBySource(source) };
         });
         const merged = createUsageLedger();
         const shuffled = [...updateMessages, ...updateMessages]
-          .map((update) => ({ telling: update, order: draws.next().value }))
+          .map((update) => ({ message: update, order: draws.next().value }))
           .sort((a, b) => a.order - b.order);
-        for (const { telling: update } of shuffled) {
-          for (const each of update.shares) merged.merge(update.source, each);
+        for (const { message: update } of shuffled) {
+          for (const each of update.windows) merged.merge(update.source, each);
         }
         for (const window of [1, 2, 3]) t.deepEqual(merged.sum(window), expected.sum(window));
       }),
--- a/src/duties/usage-reporter.test.ts
+++ b/src/duties/usage-reporter.test.ts
@@ -60,7 +60,7 @@
       const setComplete = (next: boolean): void => {
         isComplete = next;
       };
-      return { store, sent, tick, setReached: setComplete, reporter };
+      return { store, sent, tick, setComplete, reporter };
     }
 
     it('reports each window once, from the one in which the first holder starts', (t) => {
@@ -74,10 +74,10 @@
     });
 
     it('waits for missing counts, up to half of the reporting deadline', (t) => {
-      const { sent, tick, setReached } = createHarness();
+      const { sent, tick, setComplete } = createHarness();
       tick(12_000);
       tick(12_100);
-      setReached(false);
+      setComplete(false);
       tick(16_000);
       tick(19_900);
       t.is(sent.length, 0);
@@ -106,7 +106,7 @@
     function runReports(seed: number, steps: number): UsageReport[] {
       const random = createRandom(seed);
       const store = createStore();
-      const arrived: UsageReport[] = [];
+      const delivered: UsageReport[] = [];
       let delayed: { readonly at: number; readonly run: () => void }[] = [];
       const clock = { step: 0 };
       const addDelayed = (run: () => void): void => {
@@ -137,7 +137,7 @@
             const { change } = command;
             sendResponse({ kind: 'changed', change, write: store.change(change) });
           } else {
-            arrived.push(command.report);
+            delivered.push(command.report);
             sendResponse({ kind: 'sent', window: command.report.window, isAccepted: true });
           }
         });
@@ -165,7 +165,7 @@
             runCommand(index, command);
         }
       }
-      return arrived;
+      return delivered;
     }
 
     // Guards against two different reports for one window.
--- a/src/gateway/call-quarantine.ts
+++ b/src/gateway/call-quarantine.ts
@@ -35,15 +35,15 @@
   const rows = createCaseRows({
     store: caseStore,
     timers,
-    onReport: (told: CaseReport) => quarantine.merge([told], 'source'),
+    onReport: (report: CaseReport) => quarantine.merge([report], 'source'),
   });
 
   /** Called only for changes found by this instance, so that each is written once. */
-  function storeOwnStanding({ subject: crashCase, before: previous, standing }: CaseChange): void {
-    if (standing === previous) return;
-    if (standing === STANDING.Condemned) rows.add(crashCase, CASE_STATE.Condemned, '', '');
-    else if (previous === STANDING.Condemned) {
-      rows.add(crashCase, CASE_STATE.Released, '', 'it ran to a whole answer');
+  function storeOwnStanding({ subject, before, standing }: CaseChange): void {
+    if (standing === before) return;
+    if (standing === STANDING.Condemned) rows.add(subject, CASE_STATE.Condemned, '', '');
+    else if (before === STANDING.Condemned) {
+      rows.add(subject, CASE_STATE.Released, '', 'it ran to a whole answer');
     }
   }
 
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -85,16 +85,16 @@
     countInstances: () => peers.countInstances(),
   });
 
-  function listPresent(pool: string, scaling: ScalingLimits): RunningCount[] {
+  function listRunning(pool: string, scaling: ScalingLimits): RunningCount[] {
     const endpoints = directory.listAll().filter((endpoint) => endpoint.pool === pool);
-    const present = new Map<string, { onDemand: number; spot: number }>();
+    const countsByDataCentre = new Map<string, { onDemand: number; spot: number }>();
     const names = [...scaling.dataCentres, ...endpoints.map(({ dataCentre }) => dataCentre)];
-    for (const name of names) present.set(name, { onDemand: 0, spot: 0 });
+    for (const name of names) countsByDataCentre.set(name, { onDemand: 0, spot: 0 });
     for (const { dataCentre, isLeaving, isSpot } of endpoints) {
-      const counts = present.get(dataCentre);
+      const counts = countsByDataCentre.get(dataCentre);
       if (counts !== undefined && !isLeaving) counts[isSpot ? 'spot' : 'onDemand'] += 1;
     }
-    return [...present].map(([dataCentre, counts]) => ({ dataCentre, ...counts }));
+    return [...countsByDataCentre].map(([dataCentre, counts]) => ({ dataCentre, ...counts }));
   }
 
   /** Estimates the queueing time of a prompt, with the unread tokens spread evenly over the engines. */
@@ -118,13 +118,13 @@
     return Math.min(...poolRoutes.map(({ targetMs }) => targetMs));
   }
 
-  function buildSizedPool({ name, scaling }: TrafficPool): PoolLoad[] {
+  function buildPoolLoad({ name, scaling }: TrafficPool): PoolLoad[] {
     if (scaling === undefined) return [];
     return [
       {
         pool: name,
         scaling,
-        running: listPresent(name, scaling),
+        running: listRunning(name, scaling),
         backlogMs: computeBacklogMs(name),
         targetMs: computeTargetMs(name),
       },
@@ -146,7 +146,7 @@
     isScalingEnabled: duties.ordersPools,
     isCandidate: () => peers.isDutyCandidate(),
     isLeaving: options.isLeaving,
-    listPools: () => (options.getConfiguration()?.pools ?? []).flatMap(buildSizedPool),
+    listPools: () => (options.getConfiguration()?.pools ?? []).flatMap(buildPoolLoad),
     getKnowledgeAge: options.getKnowledgeAge,
   });
 
--- a/src/gateway/knowledge-store.ts
+++ b/src/gateway/knowledge-store.ts
@@ -75,7 +75,7 @@
   const directory = createEndpointDirectory();
   const configurationRows = createTableMirror();
   const endpointRows = createTableMirror();
-  const behindDetector = createFeedLagDetector();
+  const lagDetector = createFeedLagDetector();
   let trustedSinceMs = -Infinity;
   let isSourceLost = false;
   let role: WatchRole = { kind: 'follow' };
@@ -294,9 +294,9 @@
     handleSourceAnswer('peers');
   }
 
-  function checkBehind(endpointsRevision: number): void {
-    if (role.kind === 'follow') behindDetector.reset();
-    else if (behindDetector.checkLag(endpointsRevision, endpointRows.getRevision(), getNow())) {
+  function checkLag(endpointsRevision: number): void {
+    if (role.kind === 'follow') lagDetector.reset();
+    else if (lagDetector.checkLag(endpointsRevision, endpointRows.getRevision(), getNow())) {
       endpointWatcher.restart();
     }
   }
@@ -323,7 +323,7 @@
       if (confirmedAtMs !== undefined && !isNewer) {
         knowledge.record({ version, configuration: undefined, knownAtMs: confirmedAtMs });
       }
-      checkBehind(endpointsRevision);
+      checkLag(endpointsRevision);
       const isPeerAhead = isNewer || endpointsRevision > endpointRows.getContentRevision();
       return isPeerAhead && (role.kind === 'follow' || isSourceLost);
     },
--- a/src/quarantine/case-rows.ts
+++ b/src/quarantine/case-rows.ts
@@ -47,7 +47,7 @@
   readonly store: CaseStore;
   readonly timers: TimerService;
   /** Called for each row that was read, in the form of a peer's report. */
-  readonly onReport: (told: CaseReport) => void;
+  readonly onReport: (report: CaseReport) => void;
 }
 
 export interface CaseRows {
