--- a/src/gateway/knowledge-store.test.ts
+++ b/src/gateway/knowledge-store.test.ts
@@ -119,13 +119,15 @@
 async function waitUntil(state: string, isReached: () => boolean): Promise<void> {
   const endMs = performance.now() + WAIT_MAX_MS;
   while (!isReached()) {
-    if (performance.now() > endMs) throw new Error(`waited ${WAIT_MAX_MS} ms in vain: ${state}`);
+    if (performance.now() > endMs)
+      throw new Error(`timed out after ${WAIT_MAX_MS} ms waiting for: ${state}`);
+    // Polls until the state is reached.
     // eslint-disable-next-line no-await-in-loop
     await waitMs(WAIT_STEP_MS);
   }
 }
 
-function createHarness(t: ExecutionContext, duty = WATCH) {
+function createHarness(t: ExecutionContext, role = WATCH) {
   const timers = createTimerService(createSystemClock());
   const configuration = createTable([{ key: 'config', value: '7' }]);
   const endpoints = createTable([
@@ -149,7 +151,7 @@
     store.stop();
     timers.stop();
   });
-  store.setDuty(duty);
+  store.setRole(role);
   return {
     store,
     ended,
@@ -268,7 +270,7 @@
   it('keeps lapsed endpoints as long as the peer that it follows', async (t) => {
     const follower = createHarness(t);
     await follower.waitUntilWatched();
-    follower.store.setDuty(FOLLOW);
+    follower.store.setRole(FOLLOW);
     const answer = (renewalLeftMs: number, revision: number, rows: readonly FeedRow[]): void =>
       follower.store.applyResponse(
         'watcher',
@@ -344,7 +346,7 @@
     const harness = createHarness(t, { ...WATCH, isLeading: false });
     await harness.waitUntilWatched();
     const calls = harness.configuration.countCalls();
-    harness.store.setDuty(WATCH);
+    harness.store.setRole(WATCH);
     await waitMs(30);
     t.true(harness.configuration.countCalls() > calls);
   });
--- a/src/test/played-instance.ts
+++ b/src/test/played-instance.ts
@@ -96,7 +96,7 @@
       applySummary: () => false,
       computeAge: () => 0,
       getSummary: () => ({ configurationRevision: 1, endpointsRevision: 1, confirmedAtMs: 0 }),
-      setDuty: () => undefined,
+      setRole: () => undefined,
     },
     knowledgeAgeMaxMs: Infinity,
     isLeaving: () => false,
