--- a/src/bench/overhead.ts
+++ b/src/bench/overhead.ts
@@ -33,10 +33,10 @@
 ) {
   return startEmbeddedFleet({
     dataCentres: ['one'],
-    entries: 1,
-    engines: engineUrls.length === 0 ? 1 : 0,
-    engineUrls,
-    services: 0,
+    routerCount: 1,
+    engineCount: engineUrls.length === 0 ? 1 : 0,
+    externalEngineUrls: engineUrls,
+    serviceCount: 0,
     slots: engineUrls.length === 0 ? slots : STREAMS,
     stepMs,
     model: MODEL,
--- a/src/bench/run-scenario.ts
+++ b/src/bench/run-scenario.ts
@@ -35,9 +35,9 @@
   const classNames = deployment.classes.map(({ declaration }) => declaration.name);
   return startEmbeddedFleet({
     dataCentres: deployment.dataCentres,
-    entries: deployment.entries,
-    engines: deployment.engines,
-    services: 0,
+    routerCount: deployment.entries,
+    engineCount: deployment.engines,
+    serviceCount: 0,
     slots: deployment.slots,
     stepMs: deployment.stepMs,
     model: MODEL,
--- a/src/calls/streams-beside-prompts.test.ts
+++ b/src/calls/streams-beside-prompts.test.ts
@@ -1,20 +1,20 @@
 /** Simulates urgent streams that share engines with long prompts, well below the engines' capacity. */
 import { describe } from '../test/describe.js';
-import { runPlay } from '../test/fleet-play.js';
-import type { PlayedCall } from '../test/fleet-play.js';
-import { buildMixedRoutes } from '../test/played-routes.js';
+import { runSimulatedCalls } from '../test/fleet-simulation.js';
+import type { SimulatedCall } from '../test/fleet-simulation.js';
+import { buildMixedRoutes } from '../test/simulated-routes.js';
 
 const ENGINES = 40;
 const SLOTS = 24;
 const ROUTES = buildMixedRoutes({
   engines: ENGINES,
-  lookupGapMs: 110,
-  sharedParts: 10 * ENGINES,
+  lookupGapTargetMs: 110,
+  sharedPrefixes: 10 * ENGINES,
 });
 /** Fraction of the calls of each route that must meet its targets. */
 const IN_TIME_FRACTION_MIN = 0.9;
 
-function computeInTimeFraction(calls: readonly PlayedCall[], name: string): number {
+function computeInTimeFraction(calls: readonly SimulatedCall[], name: string): number {
   const ofRoute = calls.filter(({ route }) => route === name);
   return ofRoute.filter(({ isInTime }) => isInTime).length / ofRoute.length;
 }
@@ -23,7 +23,7 @@
   // Guards against pauses in a stream beyond its target while its engine reads a long prompt in chunks,
   // and against delaying long prompts to avoid them.
   it('meet their targets, and so do the long prompts', async (t) => {
-    const calls = await runPlay({
+    const calls = await runSimulatedCalls({
       seed: 1,
       engines: ENGINES,
       slots: SLOTS,
--- a/src/calls/streams-in-overload.test.ts
+++ b/src/calls/streams-in-overload.test.ts
@@ -1,45 +1,49 @@
 /** Simulates overload: for some seconds more prompts arrive than the engines can process. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
-import { runPlay } from '../test/fleet-play.js';
-import type { PlayedCall, PlayOptions } from '../test/fleet-play.js';
-import { buildPlayedRoute } from '../test/played-routes.js';
-import type { PlayedRoute } from '../test/played-routes.js';
+import { runSimulatedCalls } from '../test/fleet-simulation.js';
+import type { SimulatedCall, FleetSimulationOptions } from '../test/fleet-simulation.js';
+import { buildSimulatedRoute } from '../test/simulated-routes.js';
+import type { SimulatedRoute } from '../test/simulated-routes.js';
 
-const LOOKUP = buildPlayedRoute('lookup', {
+const LOOKUP = buildSimulatedRoute('lookup', {
   priority: 0,
   targetMs: 300,
   gapTargetMs: 250,
   timeoutMs: 10_000,
 });
-const DRAFT = buildPlayedRoute('draft', {
+const DRAFT = buildSimulatedRoute('draft', {
   priority: 1,
   targetMs: 500,
   gapTargetMs: 400,
   timeoutMs: 5000,
 });
-const HISTORY = buildPlayedRoute('history', {
+const HISTORY = buildSimulatedRoute('history', {
   priority: 2,
   targetMs: 1500,
   gapTargetMs: 1000,
   timeoutMs: 8000,
 });
 
-function buildRoutes(lookups: number, drafts: number, histories: number): readonly PlayedRoute[] {
+function buildRoutes(
+  lookups: number,
+  drafts: number,
+  histories: number,
+): readonly SimulatedRoute[] {
   return [
     {
       route: LOOKUP,
       sharedTokens: 350,
       ownTokens: 1110,
-      answerTokens: 170,
+      outputTokens: 170,
       callsPerSecond: lookups,
     },
-    { route: DRAFT, sharedTokens: 6300, ownTokens: 2890, answerTokens: 50, callsPerSecond: drafts },
+    { route: DRAFT, sharedTokens: 6300, ownTokens: 2890, outputTokens: 50, callsPerSecond: drafts },
     {
       route: HISTORY,
       sharedTokens: 13_300,
       ownTokens: 3720,
-      answerTokens: 120,
+      outputTokens: 120,
       callsPerSecond: histories,
     },
   ];
@@ -48,7 +52,7 @@
 const WINDOW_MS = 5000;
 
 /** Returns the largest fraction of lookups in any window that got no complete response. */
-function computeMaxLossFraction(calls: readonly PlayedCall[], lengthMs: number): number {
+function computeMaxLossFraction(calls: readonly SimulatedCall[], lengthMs: number): number {
   let worst = 0;
   for (let fromMs = 0; fromMs + WINDOW_MS <= lengthMs; fromMs += 1000) {
     const window = calls.filter(
@@ -61,7 +65,7 @@
   return worst;
 }
 
-function describeEnds(calls: readonly PlayedCall[]): string {
+function describeEnds(calls: readonly SimulatedCall[]): string {
   const counts = new Map<string, number>();
   for (const { route, end } of calls) {
     counts.set(`${route} ${end}`, (counts.get(`${route} ${end}`) ?? 0) + 1);
@@ -79,9 +83,9 @@
 /** Runs every seed and checks that no window loses too many lookups. */
 async function checkLookups(
   t: ExecutionContext,
-  options: Omit<PlayOptions, 'seed'>,
+  options: Omit<FleetSimulationOptions, 'seed'>,
 ): Promise<void> {
-  const plays = await Promise.all(SEEDS.map((seed) => runPlay({ ...options, seed })));
+  const plays = await Promise.all(SEEDS.map((seed) => runSimulatedCalls({ ...options, seed })));
   plays.forEach((calls, index) => {
     const loss = computeMaxLossFraction(calls, options.lengthMs);
     t.true(
--- a/src/cli/demo-main.ts
+++ b/src/cli/demo-main.ts
@@ -6,7 +6,7 @@
 import type { EmbeddedFleet } from '../embedded/embedded-fleet.js';
 import { createCompletionClient } from '../load/completion-client.js';
 import type { CompletionClient } from '../load/completion-client.js';
-import { buildAnswer } from '../standin/answer.js';
+import { buildCompletion } from '../standin/completion.js';
 import type { ClassDeclaration } from '../types/declarations.js';
 import type { DecisionEvent } from '../types/router-events.js';
 import { EXIT_CODE, createCommandLine, listArguments, runMain } from './command-line.js';
@@ -77,7 +77,7 @@
     print(`${name}: ${result.text}`);
     check(
       `the ${name} class gets the complete response to its request`,
-      result.isWhole && result.text === buildAnswer(prompt, RESPONSE_TOKENS_MAX),
+      result.isWhole && result.text === buildCompletion(prompt, RESPONSE_TOKENS_MAX),
     );
   }
 }
@@ -155,7 +155,7 @@
   check('an engine was killed while it was responding', killed !== undefined);
   check(
     'the response is complete nevertheless',
-    result.isWhole && result.text === buildAnswer(prompt, RESPONSE_TOKENS_MAX),
+    result.isWhole && result.text === buildCompletion(prompt, RESPONSE_TOKENS_MAX),
   );
 }
 
@@ -212,9 +212,9 @@
     .parseAsync();
   const fleet = await startEmbeddedFleet({
     dataCentres: ['peliyagoda', 'wattala'],
-    entries: 4,
-    engines: 4,
-    services: 1,
+    routerCount: 4,
+    engineCount: 4,
+    serviceCount: 1,
     slots: 4,
     stepMs: 20,
     model: MODEL,
--- a/src/embedded/embedded-fleet.ts
+++ b/src/embedded/embedded-fleet.ts
@@ -31,11 +31,11 @@
 
 export interface EmbeddedFleetOptions {
   readonly dataCentres: readonly string[];
-  readonly entries: number;
-  readonly engines: number;
+  readonly routerCount: number;
+  readonly engineCount: number;
   /** Engines in other processes, in addition to those started here. */
-  readonly engineUrls?: readonly string[];
-  readonly services: number;
+  readonly externalEngineUrls?: readonly string[];
+  readonly serviceCount: number;
   readonly slots: number;
   readonly stepMs: number;
   readonly model: string;
@@ -129,7 +129,7 @@
             models: [options.model],
             fencing: 'checked',
             endpoints: buildEndpoints(
-              [...engines, ...(options.engineUrls ?? []).map((url) => ({ url }))],
+              [...engines, ...(options.externalEngineUrls ?? []).map((url) => ({ url }))],
               'engine',
               options.slots,
             ),
@@ -144,7 +144,7 @@
 
 async function startRouters(options: EmbeddedFleetOptions, platformUrl: string): Promise<Router[]> {
   const routers: Router[] = [];
-  for (let index = 0; index < options.entries; index += 1) {
+  for (let index = 0; index < options.routerCount; index += 1) {
     const settings: RouterOptions = {
       name: `entry-${index + 1}`,
       dataCentre: getCyclic(options.dataCentres, index),
@@ -170,7 +170,7 @@
 export async function startEmbeddedFleet(options: EmbeddedFleetOptions): Promise<EmbeddedFleet> {
   const platform = await startPlatformStandin({ listLagMs: 500 });
   const engines = await Promise.all(
-    Array.from({ length: options.engines }, (_, index) =>
+    Array.from({ length: options.engineCount }, (_, index) =>
       startEngineStandin({
         name: `engine-${index + 1}`,
         stepMs: options.stepMs,
@@ -181,7 +181,7 @@
     ),
   );
   const services = await Promise.all(
-    Array.from({ length: options.services }, (_, index) =>
+    Array.from({ length: options.serviceCount }, (_, index) =>
       startServiceStandin(`service-${index + 1}`),
     ),
   );
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -28,7 +28,7 @@
   readonly isFirstStart: boolean;
   /** Length of a usage window and time after its end at which its report is due; undefined if usage is not reported. */
   readonly usage: { readonly windowMs: number; readonly dueMs: number } | undefined;
-  readonly ordersPools: boolean;
+  readonly isScalingEnabled: boolean;
   readonly store: DutyStore;
   readonly calls: DutyCalls;
   readonly observer: DutyObserver;
@@ -143,7 +143,7 @@
     leaseMs: duties.leaseMs,
     isFirstStart: duties.isFirstStart,
     usage: duties.usage,
-    isScalingEnabled: duties.ordersPools,
+    isScalingEnabled: duties.isScalingEnabled,
     isCandidate: () => peers.isDutyCandidate(),
     isLeaving: options.isLeaving,
     listPools: () => (options.getConfiguration()?.pools ?? []).flatMap(buildPoolLoad),
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -229,7 +229,7 @@
     loads,
     random,
     listOpen: (pool) => knowledge.directory.listOpen(pool),
-    getStanding: (route, pool) => table?.getRouteRank(route, pool) ?? TOP_RANK,
+    getRouteRank: (route, pool) => table?.getRouteRank(route, pool) ?? TOP_RANK,
     isDataCentreUnreachable: (dataCentre) => peers.isDataCentreUnreachable(dataCentre),
     isAvoided: (endpoint) => quarantine.isInTrial(endpoint),
   });
@@ -267,7 +267,7 @@
         options.onStopAccepting();
         break;
       case 'announce_left':
-        peers.left();
+        peers.announceLeft();
         break;
       case 'stop':
         // Leaves time for the last message to peers.
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -76,7 +76,7 @@
   /** Announces that this instance is leaving. */
   leave(): void;
   /** Announces that this instance has left. */
-  left(): void;
+  announceLeft(): void;
 }
 
 export function createPeerExchange(options: PeerExchangeOptions): PeerExchange {
@@ -253,6 +253,6 @@
     },
     countInstances: () => fleet.listAlive().length,
     leave: () => fleet.leave(),
-    left: () => fleet.announceLeft(),
+    announceLeft: () => fleet.announceLeft(),
   };
 }
--- a/src/leases/lease-model.test.ts
+++ b/src/leases/lease-model.test.ts
@@ -1,7 +1,12 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
-import { LENGTH_MS, TROUBLE, findBreach, runLeasePlay } from '../test/played-lease.js';
-import type { LeaseParts, PlayedStep, Trouble } from '../test/played-lease.js';
+import {
+  LEASE_DURATION_MS,
+  FAULT,
+  findLeaseViolation,
+  runLeaseSimulation,
+} from '../test/lease-simulation.js';
+import type { LeaseImplementation, SimulationStep, Fault } from '../test/lease-simulation.js';
 import { createRandom } from '../utils/random.js';
 import { createLease } from './lease.js';
 import type { LeaseOptions } from './lease.js';
@@ -15,21 +20,21 @@
 const QUIET_STEPS_PER_FAULT = 12;
 
 /** Removal of the document is left out here; a separate test covers it. */
-const faults = Object.values(TROUBLE).filter(
-  (trouble) => trouble !== TROUBLE.None && trouble !== TROUBLE.Erase,
+const faults = Object.values(FAULT).filter(
+  (fault) => fault !== FAULT.None && fault !== FAULT.Erase,
 );
 
-const step: fc.Arbitrary<PlayedStep> = fc.record({
+const step: fc.Arbitrary<SimulationStep> = fc.record({
   machine: fc.nat(4),
-  trouble: fc.oneof(
-    { weight: QUIET_STEPS_PER_FAULT, arbitrary: fc.constant<Trouble>(TROUBLE.None) },
+  fault: fc.oneof(
+    { weight: QUIET_STEPS_PER_FAULT, arbitrary: fc.constant<Fault>(FAULT.None) },
     { weight: 1, arbitrary: fc.constantFrom(...faults) },
   ),
 });
 
 /** Steps without faults. */
-function buildQuietSteps(ms: number): PlayedStep[] {
-  return Array.from({ length: ms / STEP_MS }, () => ({ machine: 0, trouble: TROUBLE.None }));
+function buildQuietSteps(ms: number): SimulationStep[] {
+  return Array.from({ length: ms / STEP_MS }, () => ({ machine: 0, fault: FAULT.None }));
 }
 
 /** Faults begin once there is a holder. */
@@ -40,17 +45,17 @@
     .map((steps) => [...buildQuietSteps(FIRST_TAKEOVER_MS), ...steps]),
 );
 
-function findBreaches(parts?: LeaseParts): string | undefined {
+function findBreaches(parts?: LeaseImplementation): string | undefined {
   const result = fc.check(
     fc.property(schedule, ([seed, steps]) => {
-      const calls = runLeasePlay(4, steps, createRandom(seed), parts);
-      return findBreach(calls) === undefined;
+      const calls = runLeaseSimulation(4, steps, createRandom(seed), parts);
+      return findLeaseViolation(calls) === undefined;
     }),
     { seed: 12, numRuns: RUNS, endOnFailure: true },
   );
   if (result.counterexample === null) return undefined;
   const [[seed, steps]] = result.counterexample;
-  return findBreach(runLeasePlay(4, steps, createRandom(seed), parts));
+  return findLeaseViolation(runLeaseSimulation(4, steps, createRandom(seed), parts));
 }
 
 describe('lease, as observed by the receiver of calls', ({ describe: block }) => {
@@ -63,27 +68,29 @@
   });
 
   block('with one guard disabled', ({ it }) => {
-    const createMutant = (change: (options: LeaseOptions) => LeaseOptions): LeaseParts => ({
+    const createMutant = (
+      change: (options: LeaseOptions) => LeaseOptions,
+    ): LeaseImplementation => ({
       createLease: (options) => createLease(change(options)),
     });
 
     it('is taken over too early without the expiry margin', (t) => {
       const parts = createMutant((options) => ({
         ...options,
-        timings: { ...options.timings, expiryMarginMs: -LENGTH_MS / 3 },
+        timings: { ...options.timings, expiryMarginMs: -LEASE_DURATION_MS / 3 },
       }));
       t.not(findBreaches(parts), undefined);
     });
 
     it('is used after its expiry', (t) => {
-      const parts: LeaseParts = {
+      const parts: LeaseImplementation = {
         createLease(options) {
           const lease = createLease(options);
           return {
             ...lease,
             getGrant(now) {
               const grant = lease.getGrant(now);
-              return grant && { ...grant, remainingMs: grant.remainingMs + LENGTH_MS };
+              return grant && { ...grant, remainingMs: grant.remainingMs + LEASE_DURATION_MS };
             },
           };
         },
@@ -92,7 +99,7 @@
     });
 
     it('keeps its grant through a suspension that stops the monotonic clock', (t) => {
-      const parts: LeaseParts = {
+      const parts: LeaseImplementation = {
         createLease(options) {
           const lease = createLease(options);
           const hideWallClock = ({ monotonicMs }: { monotonicMs: number }) => ({
@@ -110,7 +117,7 @@
     });
 
     it('returns to a holder that has just released it', (t) => {
-      const parts: LeaseParts = {
+      const parts: LeaseImplementation = {
         createLease(options) {
           const lease = createLease(options);
           return {
@@ -125,13 +132,13 @@
           };
         },
       };
-      const handovers: PlayedStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
-        { machine, trouble: TROUBLE.Yield },
+      const handovers: SimulationStep[] = [0, 1, 0, 1, 0].flatMap((machine) => [
+        { machine, fault: FAULT.Yield },
         ...buildQuietSteps(1200),
       ]);
       const breaches = Array.from({ length: 200 }, (_, seed) =>
-        findBreach(
-          runLeasePlay(
+        findLeaseViolation(
+          runLeaseSimulation(
             2,
             [...buildQuietSteps(FIRST_TAKEOVER_MS), ...handovers],
             createRandom(seed),
@@ -145,42 +152,44 @@
 
   block('after the holder stops', ({ it }) => {
     /** Time from the last call of a holder to the first call of its successor, in milliseconds. */
-    const listTakeoverTimes = (fault: Trouble): number[] =>
+    const listTakeoverTimes = (fault: Fault): number[] =>
       Array.from({ length: 30 }, (_, seed) => {
-        const holder = runLeasePlay(4, buildQuietSteps(FIRST_TAKEOVER_MS), createRandom(seed)).at(
-          -1,
-        );
+        const holder = runLeaseSimulation(
+          4,
+          buildQuietSteps(FIRST_TAKEOVER_MS),
+          createRandom(seed),
+        ).at(-1);
         const machine = Number(holder?.machine.slice(1));
         const steps = [
           ...buildQuietSteps(FIRST_TAKEOVER_MS),
-          { machine, trouble: fault },
-          ...buildQuietSteps(3 * LENGTH_MS),
+          { machine, fault },
+          ...buildQuietSteps(3 * LEASE_DURATION_MS),
         ];
-        const calls = runLeasePlay(4, steps, createRandom(seed));
+        const calls = runLeaseSimulation(4, steps, createRandom(seed));
         const last = calls.findLast(({ fence }) => fence === holder?.fence);
         const next = calls.find(({ fence }) => fence > (holder?.fence ?? Infinity));
         return (next?.atMs ?? Infinity) - (last?.atMs ?? 0);
       });
 
     it('is taken over within two lease durations of a crash', (t) => {
-      for (const ms of listTakeoverTimes(TROUBLE.Kill)) t.true(ms < 2 * LENGTH_MS);
+      for (const ms of listTakeoverTimes(FAULT.Kill)) t.true(ms < 2 * LEASE_DURATION_MS);
     });
 
     it('is not taken over while the holder of a deleted document may still act', (t) => {
       const steps = [
         ...buildQuietSteps(FIRST_TAKEOVER_MS),
-        { machine: 0, trouble: TROUBLE.Erase },
+        { machine: 0, fault: FAULT.Erase },
         ...buildQuietSteps(8000),
       ];
       for (let seed = 0; seed < 30; seed += 1) {
-        const calls = runLeasePlay(4, steps, createRandom(seed));
-        t.is(findBreach(calls), undefined);
+        const calls = runLeaseSimulation(4, steps, createRandom(seed));
+        t.is(findLeaseViolation(calls), undefined);
         t.true((calls.at(-1)?.atMs ?? 0) > FIRST_TAKEOVER_MS + 6000);
       }
     });
 
     it('is handed over within two renewal intervals of a graceful shutdown', (t) => {
-      for (const ms of listTakeoverTimes(TROUBLE.Drain)) t.true(ms < (2 * LENGTH_MS) / 3);
+      for (const ms of listTakeoverTimes(FAULT.Drain)) t.true(ms < (2 * LEASE_DURATION_MS) / 3);
     });
   });
 });
--- a/src/load-sharing/fleet-loads.test.ts
+++ b/src/load-sharing/fleet-loads.test.ts
@@ -1,13 +1,13 @@
 /** Simulates whole fleets and checks how well instances know the load of engines. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
-import { runFleetPlay } from '../test/fleet-play.js';
-import type { PlayedCall } from '../test/fleet-play.js';
-import { buildMixedRoutes } from '../test/played-routes.js';
+import { runFleetSimulation } from '../test/fleet-simulation.js';
+import type { SimulatedCall } from '../test/fleet-simulation.js';
+import { buildMixedRoutes } from '../test/simulated-routes.js';
 
 const ENGINES = 20;
 const SLOTS = 16;
-const ROUTES = buildMixedRoutes({ engines: ENGINES, lookupGapMs: 150, sharedParts: 100 });
+const ROUTES = buildMixedRoutes({ engines: ENGINES, lookupGapTargetMs: 150, sharedPrefixes: 100 });
 const LOOKUP = 'lookup';
 /**
  * Maximum mean error of the load known to an instance, in calls: the slots left to more urgent
@@ -17,7 +17,7 @@
 /** Share of the lookups that must meet their target during a burst. */
 const IN_TIME_MIN = 0.95;
 
-function computeInTime(calls: readonly PlayedCall[]): number {
+function computeInTime(calls: readonly SimulatedCall[]): number {
   const lookups = calls.filter(({ route }) => route === LOOKUP);
   return lookups.filter(({ isInTime }) => isInTime).length / lookups.length;
 }
@@ -27,7 +27,11 @@
   instances: number,
   dataCentres: number,
 ): Promise<void> {
-  const { calls, meanBeliefError, datagramsPerSecond } = await runFleetPlay({
+  const {
+    calls,
+    meanLoadError: meanBeliefError,
+    datagramsPerSecond,
+  } = await runFleetSimulation({
     seed: 1,
     engines: ENGINES,
     slots: SLOTS,
@@ -37,7 +41,7 @@
     lengthMs: 4000,
     instances,
     dataCentres,
-    settlingMs: 8000,
+    warmUpMs: 8000,
   });
   const inTime = computeInTime(calls);
   t.true(
--- a/src/peers/peer-outbox.test.ts
+++ b/src/peers/peer-outbox.test.ts
@@ -81,7 +81,7 @@
       // Rounds are sequential.
       // eslint-disable-next-line no-await-in-loop
       await waitMs(1200);
-      relay.silenceOpen();
+      relay.stallOpenConnections();
       const endMs = performance.now() + RECOVERY_MS;
       const before = received.length;
       while (received.length === before && performance.now() < endMs) {
--- a/src/placement/choose-endpoint.test.ts
+++ b/src/placement/choose-endpoint.test.ts
@@ -1,6 +1,6 @@
 import type { PromptShape } from '../calls/call-messages.js';
 import { describe } from '../test/describe.js';
-import { buildShare } from '../test/load-shares.js';
+import { buildLoadShare } from '../test/load-shares.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
 import { chooseEndpoint } from './choose-endpoint.js';
@@ -187,7 +187,7 @@
       const home = chooseEndpoint(buildInput({ prompt, loads }))?.endpoint.id ?? '';
       loads.remote.set(
         'other',
-        [buildShare({ endpoint: home, running: 4, unreadTokens: 30_000 })],
+        [buildLoadShare({ endpoint: home, running: 4, unreadTokens: 30_000 })],
         true,
         0,
       );
@@ -240,7 +240,7 @@
 
     it('uses failures reported within its data centre until the report expires', (t) => {
       const loads = createTrainedLoads();
-      const failing = buildShare({ answers: 9, failures: 5 });
+      const failing = buildLoadShare({ answers: 9, failures: 5 });
       loads.remote.set('far', [failing], false, 0);
       t.is(loads.getFailureRate('a', 0), 0);
       loads.remote.set('near', [failing], true, 0);
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -1,6 +1,6 @@
 import type { RoutedCall } from '../calls/call-messages.js';
 import { describe } from '../test/describe.js';
-import { buildPlayedRoute } from '../test/played-routes.js';
+import { buildSimulatedRoute } from '../test/simulated-routes.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
 import { createEndpointLoads } from './endpoint-loads.js';
@@ -20,7 +20,7 @@
 const CALL: RoutedCall = {
   callId: 'c',
   contentId: 'c',
-  route: buildPlayedRoute('draft', { priority: 1 }),
+  route: buildSimulatedRoute('draft', { priority: 1 }),
   pool: ENGINE.pool,
   organisation: undefined,
   isAuthenticated: false,
@@ -41,7 +41,7 @@
       loads,
       random: createRandom(1),
       listOpen: () => [ENGINE],
-      getStanding: () => ({ rank: 1, ranks: 3, nextPauseMs: Infinity, urgentPauseMs: 250 }),
+      getRouteRank: () => ({ rank: 1, ranks: 3, nextPauseMs: Infinity, urgentPauseMs: 250 }),
       isDataCentreUnreachable: () => false,
       isAvoided: () => false,
     });
--- a/src/placement/placer.ts
+++ b/src/placement/placer.ts
@@ -22,7 +22,7 @@
   readonly random: Random;
   readonly listOpen: (pool: string) => readonly RegisteredEndpoint[];
   /** Rank of a route among the routes that stream from the pool. */
-  readonly getStanding: (route: Route, pool: string) => RouteRank;
+  readonly getRouteRank: (route: Route, pool: string) => RouteRank;
   /** Whether a data centre is currently unreachable. */
   readonly isDataCentreUnreachable: (dataCentre: string) => boolean;
   /** Whether an endpoint should be used only if there is no other. */
@@ -72,7 +72,7 @@
 
   /** Whether the call has the most urgent of several priorities in its pool. */
   function isUrgent({ route, pool }: RoutedCall): boolean {
-    const { rank, ranks } = options.getStanding(route, pool);
+    const { rank, ranks } = options.getRouteRank(route, pool);
     return rank === 0 && ranks > 1;
   }
 
@@ -81,7 +81,7 @@
    * priority.
    */
   function computeUrgentPauseMs({ route, pool }: RoutedCall): number {
-    const { rank, ranks, urgentPauseMs } = options.getStanding(route, pool);
+    const { rank, ranks, urgentPauseMs } = options.getRouteRank(route, pool);
     if (ranks <= 1) return Infinity;
     return rank === 0 ? (route.gapTargetMs ?? Infinity) : urgentPauseMs;
   }
@@ -139,7 +139,7 @@
       if (call.prompt === undefined) return ADMISSION.Send;
       const { running, urgent } = loads.get(endpoint.startId);
       const { slots } = endpoint;
-      const { rank, ranks, urgentPauseMs, nextPauseMs } = options.getStanding(route, pool);
+      const { rank, ranks, urgentPauseMs, nextPauseMs } = options.getRouteRank(route, pool);
       const isIsolated = urgent === 0 && chooseReserved(call, nowMs).size > 0;
       return chooseAdmission({
         rank: isBegun ? 0 : rank,
--- a/src/placement/reading-pace.test.ts
+++ b/src/placement/reading-pace.test.ts
@@ -1,5 +1,5 @@
 import { describe } from '../test/describe.js';
-import { buildShare } from '../test/load-shares.js';
+import { buildLoadShare } from '../test/load-shares.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { ENDPOINT_VERDICT, createEndpointLoads } from './endpoint-loads.js';
 import type { EndpointLoads } from './endpoint-loads.js';
@@ -91,7 +91,7 @@
       const nowMs = runPrompts(loads, 'b', 100, runPrompts(loads, 'a', 100));
       loads.remote.set(
         'peer',
-        [buildShare({ endpoint: 'c', readTokens: 20_000, readMs: 900 })],
+        [buildLoadShare({ endpoint: 'c', readTokens: 20_000, readMs: 900 })],
         false,
         nowMs,
       );
@@ -105,7 +105,7 @@
       const share = { running: 2, unreadTokens: 7, answers: 0.1, failures: 0.1 };
       loads.remote.set(
         'peer',
-        [buildShare({ endpoint: 'c', ...share, readTokens: 20_000.3, readMs: 900.7 })],
+        [buildLoadShare({ endpoint: 'c', ...share, readTokens: 20_000.3, readMs: 900.7 })],
         true,
         nowMs,
       );
--- a/src/quarantine/case-propagation.test.ts
+++ b/src/quarantine/case-propagation.test.ts
@@ -2,10 +2,10 @@
 import { CONNECTION_RESULT } from './crash-detector.js';
 import { createRouteRanks } from '../routes/route-rank.js';
 import { createActor, createVirtualTime } from '../soak/virtual-time.js';
-import { buildContacts } from '../test/played-contacts.js';
-import { createPlayedInstance } from '../test/played-instance.js';
-import type { PlayedInstance } from '../test/played-instance.js';
-import { createPlayedNetwork } from '../test/played-network.js';
+import { buildContacts } from '../test/simulated-contacts.js';
+import { createSimulatedInstance } from '../test/simulated-instance.js';
+import type { SimulatedInstance } from '../test/simulated-instance.js';
+import { createSimulatedNetwork } from '../test/simulated-network.js';
 import { describe } from '../test/describe.js';
 import { createRandom } from '../utils/random.js';
 
@@ -21,20 +21,20 @@
 /** Milliseconds until the last instance knows a case that one instance found. */
 async function runPropagation(count: number, dataCentres: number, seed: number): Promise<number> {
   const time = createVirtualTime();
-  const network = createPlayedNetwork(time, createRandom(seed));
+  const network = createSimulatedNetwork(time, createRandom(seed));
   const contacts = buildContacts(count, dataCentres);
-  const instances: PlayedInstance[] = [];
+  const instances: SimulatedInstance[] = [];
   const timers = contacts.map((self, index) => {
     const own = time.createTimers(createActor(self.name), 0);
     time.add(undefined, (300 * index) / count, () => {
-      const instance = createPlayedInstance({
+      const instance = createSimulatedInstance({
         self,
         contacts,
         timers: own,
         random: createRandom(seed * 1000 + index),
         network,
         listOpen: () => [],
-        standings: createRouteRanks([]),
+        ranks: createRouteRanks([]),
         connections: {
           open: () => () => undefined,
           closeAll: () => undefined,
@@ -56,7 +56,7 @@
     [{ content: 'x', organisation: 1, crashes, cleared: [], trial: undefined }],
     'own',
   );
-  const isKnown = ({ quarantine }: PlayedInstance): boolean => quarantine.list().length > 0;
+  const isKnown = ({ quarantine }: SimulatedInstance): boolean => quarantine.list().length > 0;
   while (!instances.every(isKnown) && time.getNow() < DISCOVERY_MS + 10 * NOTICE_MAX_MS) {
     // Each step depends on the previous one.
     // eslint-disable-next-line no-await-in-loop
--- a/src/quarantine/crashing-request.test.ts
+++ b/src/quarantine/crashing-request.test.ts
@@ -1,10 +1,10 @@
 /** Simulates requests that crash every endpoint which begins to run them. */
 import type { ExecutionContext } from 'ava';
 import { describe } from '../test/describe.js';
-import { runCrashPlay } from '../test/crash-play.js';
-import type { CrashPlayOptions, CrashPlayRecord } from '../test/crash-play.js';
-import { buildMixedRoutes, buildPlayedRoute } from '../test/played-routes.js';
-import type { PlayedRoute } from '../test/played-routes.js';
+import { runCrashSimulation } from '../test/crash-simulation.js';
+import type { CrashSimulationOptions, CrashSimulationResult } from '../test/crash-simulation.js';
+import { buildMixedRoutes, buildSimulatedRoute } from '../test/simulated-routes.js';
+import type { SimulatedRoute } from '../test/simulated-routes.js';
 import { CALL_KIND } from '../types/traffic.js';
 import type { CallKind } from '../types/traffic.js';
 
@@ -20,14 +20,14 @@
 /** Only condemned requests get a longer retry delay than this. */
 const CONDEMNED_RETRY_MIN_MS = 60_000;
 
-const ROUTES = buildMixedRoutes({ engines: ENGINES, lookupGapMs: 250, sharedParts: 12 });
+const ROUTES = buildMixedRoutes({ engines: ENGINES, lookupGapTargetMs: 250, sharedPrefixes: 12 });
 
-function buildCulprit(kind: CallKind): PlayedRoute {
+function buildCulprit(kind: CallKind): SimulatedRoute {
   return {
-    route: buildPlayedRoute('culprit', { kind, priority: 2, targetMs: 1500, gapTargetMs: 1000 }),
+    route: buildSimulatedRoute('culprit', { kind, priority: 2, targetMs: 1500, gapTargetMs: 1000 }),
     sharedTokens: 13_300,
     ownTokens: 3720,
-    answerTokens: 120,
+    outputTokens: 120,
     callsPerSecond: 0,
   };
 }
@@ -55,7 +55,7 @@
   copies,
   instances,
   dataCentres,
-}: Repeats): Omit<CrashPlayOptions, 'seed'> {
+}: Repeats): Omit<CrashSimulationOptions, 'seed'> {
   return {
     instances,
     engines: ENGINES,
@@ -64,7 +64,7 @@
     repeats: [
       {
         content: 'culprit',
-        played: buildCulprit(kind),
+        simulatedRoute: buildCulprit(kind),
         isCulprit: true,
         atMs: listRepeatTimes(periodMs, copies),
       },
@@ -74,25 +74,25 @@
 }
 
 /** Counts sends of the culprit after every connected instance must know of the third crash. */
-function countLateSends({ sends, ends }: CrashPlayRecord): number {
-  const third = ends[CRASHES_MAX - 1];
+function countLateSends({ sends, crashes }: CrashSimulationResult): number {
+  const third = crashes[CRASHES_MAX - 1];
   if (third === undefined) return 0;
   return sends.filter(({ atMs }) => atMs > third.atMs + NOTICE_MAX_MS).length;
 }
 
 async function checkLateSends(t: ExecutionContext, repeats: Repeats): Promise<void> {
   const options = buildOptions(repeats);
-  const plays = await Promise.all(SEEDS.map((seed) => runCrashPlay({ ...options, seed })));
+  const plays = await Promise.all(SEEDS.map((seed) => runCrashSimulation({ ...options, seed })));
   plays.forEach((play, index) => {
     const late = countLateSends(play);
-    const message = `seed ${SEEDS[index]}: ${late} late sends, ${play.ends.length} endpoints crashed`;
-    t.true(play.ends.length >= CRASHES_MAX, message);
+    const message = `seed ${SEEDS[index]}: ${late} late sends, ${play.crashes.length} endpoints crashed`;
+    t.true(play.crashes.length >= CRASHES_MAX, message);
     t.true(late <= LATE_SENDS_MAX, message);
   });
 }
 
 /** Counts calls with other contents that were refused as condemned. */
-function countInnocentRefusals({ calls }: CrashPlayRecord): number {
+function countInnocentRefusals({ calls }: CrashSimulationResult): number {
   return calls.filter(
     ({ content, retryAfterMs = 0 }) =>
       content !== 'culprit' && retryAfterMs > CONDEMNED_RETRY_MIN_MS,
@@ -141,7 +141,7 @@
       instances: 70,
       dataCentres: 3,
     });
-    const play = await runCrashPlay({ ...options, seed: 1, engines: 42, lengthMs: 15_000 });
+    const play = await runCrashSimulation({ ...options, seed: 1, engines: 42, lengthMs: 15_000 });
     t.true(countLateSends(play) <= LATE_SENDS_MAX, `${countLateSends(play)} late sends`);
   });
 });
@@ -151,7 +151,11 @@
   // involved in most crashes.
   it('are not refused, however often its crashes interrupt them', async (t) => {
     const moments = listRepeatTimes(50, 1);
-    const popular = { content: 'popular', played: ROUTES[0] as PlayedRoute, isCulprit: false };
+    const popular = {
+      content: 'popular',
+      simulatedRoute: ROUTES[0] as SimulatedRoute,
+      isCulprit: false,
+    };
     const crashes = [5, 9, 13, 17, 21].flatMap((second) =>
       [0, 1, 2].map((engine) => ({ atMs: second * 1000, engine })),
     );
@@ -164,7 +168,7 @@
     });
     const repeats = [...options.repeats, { ...popular, atMs: moments }];
     const plays = await Promise.all(
-      SEEDS.map((seed) => runCrashPlay({ ...options, repeats, crashes, seed })),
+      SEEDS.map((seed) => runCrashSimulation({ ...options, repeats, crashes, seed })),
     );
     plays.forEach((play) => t.is(countInnocentRefusals(play), 0));
   });
--- a/src/routes/route-rank.test.ts
+++ b/src/routes/route-rank.test.ts
@@ -1,12 +1,12 @@
 import { describe } from '../test/describe.js';
-import { buildPlayedRoute } from '../test/played-routes.js';
+import { buildSimulatedRoute } from '../test/simulated-routes.js';
 import { createRouteRanks } from './route-rank.js';
 
-const LOOKUP = buildPlayedRoute('lookup', { priority: 2, gapTargetMs: 250 });
-const OTHER = buildPlayedRoute('other', { priority: 2, gapTargetMs: 300 });
-const DRAFT = buildPlayedRoute('draft', { priority: 5, gapTargetMs: 400 });
-const HISTORY = buildPlayedRoute('history', { priority: 7, gapTargetMs: 1000 });
-const PLAIN = buildPlayedRoute('plain', { priority: 0, gapTargetMs: undefined });
+const LOOKUP = buildSimulatedRoute('lookup', { priority: 2, gapTargetMs: 250 });
+const OTHER = buildSimulatedRoute('other', { priority: 2, gapTargetMs: 300 });
+const DRAFT = buildSimulatedRoute('draft', { priority: 5, gapTargetMs: 400 });
+const HISTORY = buildSimulatedRoute('history', { priority: 7, gapTargetMs: 1000 });
+const PLAIN = buildSimulatedRoute('plain', { priority: 0, gapTargetMs: undefined });
 const POOL = LOOKUP.pools[0]?.pool ?? '';
 
 describe('rank of routes', ({ it }) => {
--- a/src/standin/batch-engine.ts
+++ b/src/standin/batch-engine.ts
@@ -2,7 +2,7 @@
  * Continuous batching without I/O: priority scheduling, KV memory and a prefix cache. Each step
  * advances every running sequence by one token or one chunk of its prefill.
  */
-import { buildToken } from './answer.js';
+import { buildToken } from './completion.js';
 
 export interface SequenceRequest {
   readonly id: string;
--- a/src/standin/answer.ts
+++ b/src/standin/completion.ts
@@ -29,7 +29,7 @@
   return Math.min(maxTokens, Math.max(MIN_TOKENS, Math.min(MAX_TOKENS, sampledLength)));
 }
 
-export function buildAnswer(prompt: string, maxTokens: number): string {
+export function buildCompletion(prompt: string, maxTokens: number): string {
   const length = computeCompletionLength(prompt, maxTokens);
   return Array.from({ length }, (_, index) => buildToken(prompt, index)).join('');
 }
--- a/src/standin/engine.ts
+++ b/src/standin/engine.ts
@@ -6,7 +6,7 @@
 import express from 'express';
 import type { Request, Response } from 'express';
 import { z } from 'zod';
-import { computeCompletionLength, countTokens } from './answer.js';
+import { computeCompletionLength, countTokens } from './completion.js';
 import { createBatchEngine } from './batch-engine.js';
 import type { EngineLoad, StepEvent } from './batch-engine.js';
 import { startHttpServer } from './http-server.js';
--- a/src/test/crash-play.ts
+++ b/src/test/crash-simulation.ts
@@ -10,32 +10,32 @@
 import type { Random } from '../utils/random.js';
 import { createCrashingEngines } from './crashing-engines.js';
 import type { CrashingEngines, CulpritSend } from './crashing-engines.js';
-import { buildContacts } from './played-contacts.js';
-import { createPlayedInstance } from './played-instance.js';
-import type { PlayedInstance } from './played-instance.js';
+import { buildContacts } from './simulated-contacts.js';
+import { createSimulatedInstance } from './simulated-instance.js';
+import type { SimulatedInstance } from './simulated-instance.js';
 import { createSimulatedTrialLeases } from './simulated-trial-leases.js';
-import { createPlayedNetwork } from './played-network.js';
-import { buildCall } from './played-routes.js';
-import type { PlayedRoute } from './played-routes.js';
+import { createSimulatedNetwork } from './simulated-network.js';
+import { buildCall } from './simulated-routes.js';
+import type { SimulatedRoute } from './simulated-routes.js';
 
 /** A request that clients send repeatedly, each time with a new call ID. */
 export interface RepeatedRequest {
   readonly content: ContentId;
-  readonly played: PlayedRoute;
+  readonly simulatedRoute: SimulatedRoute;
   /** Whether it crashes engines. */
   readonly isCulprit: boolean;
   /** Arrival times relative to the start of arrivals. Equal times go to different instances. */
   readonly atMs: readonly number[];
 }
 
-export interface CrashPlayOptions {
+export interface CrashSimulationOptions {
   readonly seed: number;
   readonly instances: number;
   readonly engines: number;
   readonly dataCentres: number;
   readonly repeats: readonly RepeatedRequest[];
   /** Ordinary calls. */
-  readonly routes: readonly PlayedRoute[];
+  readonly routes: readonly SimulatedRoute[];
   /** Crashes that no request causes. */
   readonly crashes?: readonly { readonly atMs: number; readonly engine: number }[];
   readonly lengthMs: number;
@@ -49,10 +49,10 @@
   retryAfterMs: number | undefined;
 }
 
-export interface CrashPlayRecord {
+export interface CrashSimulationResult {
   readonly calls: readonly ObservedCall[];
   readonly sends: readonly CulpritSend[];
-  readonly ends: CrashingEngines['ends'];
+  readonly crashes: CrashingEngines['crashes'];
 }
 
 const SLOTS = 64;
@@ -63,21 +63,21 @@
 const DRAIN_MS = 10_000;
 
 interface Simulation {
-  readonly options: CrashPlayOptions;
+  readonly options: CrashSimulationOptions;
   readonly time: VirtualTime;
   readonly random: Random;
   readonly calls: Map<string, RoutedCall>;
-  readonly instances: readonly PlayedInstance[];
+  readonly instances: readonly SimulatedInstance[];
   readonly timers: readonly TimerService[];
   readonly pool: CrashingEngines;
   readonly observedCalls: ObservedCall[];
 }
 
-function createSimulation(options: CrashPlayOptions): Simulation {
+function createSimulation(options: CrashSimulationOptions): Simulation {
   const time = createVirtualTime();
   const random = createRandom(options.seed);
   const calls = new Map<string, RoutedCall>();
-  const instances: PlayedInstance[] = [];
+  const instances: SimulatedInstance[] = [];
   const timers: TimerService[] = [];
   let registered: readonly RegisteredEndpoint[] = [];
   const pool = createCrashingEngines({
@@ -99,22 +99,24 @@
     },
   });
   const leases = createSimulatedTrialLeases(time);
-  const network = createPlayedNetwork(time, createRandom(options.seed + 1));
+  const network = createSimulatedNetwork(time, createRandom(options.seed + 1));
   const contacts = buildContacts(options.instances, options.dataCentres);
   const ranks = createRouteRanks(
-    [...options.routes, ...options.repeats.map(({ played }) => played)].map(({ route }) => route),
+    [...options.routes, ...options.repeats.map(({ simulatedRoute }) => simulatedRoute)].map(
+      ({ route }) => route,
+    ),
   );
   contacts.forEach((self, index) => {
     const instanceTimers = time.createTimers(createActor(self.name), 0);
     timers.push(instanceTimers);
-    const instance = createPlayedInstance({
+    const instance = createSimulatedInstance({
       self,
       contacts,
       timers: instanceTimers,
       random: createRandom(options.seed * 1000 + index),
       network,
       listOpen: () => registered,
-      standings: ranks,
+      ranks,
       connections: pool.connections,
       takeTrialLease: leases.take,
       checkConnection: (address) => pool.checkConnection(address),
@@ -146,7 +148,7 @@
 function startCall(
   simulation: Simulation,
   instance: number,
-  simulatedRoute: PlayedRoute,
+  simulatedRoute: SimulatedRoute,
   content: ContentId | undefined,
 ): void {
   const { time, random, calls, instances, observedCalls } = simulation;
@@ -161,11 +163,14 @@
     retryAfterMs: undefined,
   };
   observedCalls.push(result);
-  (instances[instance % instances.length] as PlayedInstance).runner.run(call, createSink(result));
+  (instances[instance % instances.length] as SimulatedInstance).runner.run(
+    call,
+    createSink(result),
+  );
 }
 
 /** Schedules the calls of a route as a Poisson process. */
-function addArrivals(simulation: Simulation, simulatedRoute: PlayedRoute): void {
+function addArrivals(simulation: Simulation, simulatedRoute: SimulatedRoute): void {
   const { options, time, random, instances } = simulation;
   const addNext = (): void => {
     if (time.getNow() - WARM_UP_MS >= options.lengthMs) return;
@@ -182,18 +187,23 @@
 }
 
 /** Copies with the same arrival time go to consecutive instances. */
-function addRepeats(simulation: Simulation, { atMs, played, content }: RepeatedRequest): void {
+function addRepeats(
+  simulation: Simulation,
+  { atMs, simulatedRoute, content }: RepeatedRequest,
+): void {
   const { time, random, instances } = simulation;
   let instance = 0;
   atMs.forEach((ms, index) => {
     if (ms !== atMs[index - 1]) instance = random.nextIndex(instances.length);
     else instance += 1;
     const chosen = instance;
-    time.add(undefined, ms, () => startCall(simulation, chosen, played, content));
+    time.add(undefined, ms, () => startCall(simulation, chosen, simulatedRoute, content));
   });
 }
 
-export async function runCrashPlay(options: CrashPlayOptions): Promise<CrashPlayRecord> {
+export async function runCrashSimulation(
+  options: CrashSimulationOptions,
+): Promise<CrashSimulationResult> {
   const simulation = createSimulation(options);
   const { time, pool, timers, observedCalls } = simulation;
   await time.runUntil(WARM_UP_MS);
@@ -204,6 +214,6 @@
   }
   await time.runUntil(WARM_UP_MS + options.lengthMs + DRAIN_MS);
   timers.forEach((instanceTimers) => instanceTimers.stop());
-  const { sends, ends } = pool;
-  return { calls: observedCalls, sends, ends };
+  const { sends, crashes } = pool;
+  return { calls: observedCalls, sends, crashes };
 }
--- a/src/test/crashing-engines.ts
+++ b/src/test/crashing-engines.ts
@@ -9,8 +9,8 @@
 import type { ConnectionResult } from '../quarantine/crash-detector.js';
 import type { VirtualTime } from '../soak/virtual-time.js';
 import type { RegisteredEndpoint } from '../types/traffic.js';
-import { buildDataCentre } from './played-contacts.js';
-import { POOL } from './played-routes.js';
+import { buildDataCentre } from './simulated-contacts.js';
+import { POOL } from './simulated-routes.js';
 import { createSimulatedEngine } from './simulated-engine.js';
 import type { SimulatedEngine } from './simulated-engine.js';
 
@@ -46,7 +46,7 @@
   /** Culprits that reached an engine. */
   readonly sends: readonly CulpritSend[];
   /** Crashes, with the request that caused them; undefined for those started by `crash`. */
-  readonly ends: readonly { readonly content: ContentId | undefined; readonly atMs: number }[];
+  readonly crashes: readonly { readonly content: ContentId | undefined; readonly atMs: number }[];
   /** Crashes an engine without a request as the cause. */
   crash(index: number): void;
 }
@@ -63,7 +63,7 @@
   const { time } = options;
   const processes = new Map<string, EngineProcess>();
   const sends: CulpritSend[] = [];
-  const ends: { content: ContentId | undefined; atMs: number }[] = [];
+  const crashes: { content: ContentId | undefined; atMs: number }[] = [];
   let started = 0;
 
   function startEngine(index: number): void {
@@ -89,7 +89,7 @@
     const engineProcess = processes.get(address);
     if (engineProcess === undefined) return;
     processes.delete(address);
-    ends.push({ content, atMs: time.getNow() });
+    crashes.push({ content, atMs: time.getNow() });
     for (const listener of engineProcess.listeners) {
       time.add(undefined, CONNECTION_ERROR_MS, () => listener.onError(true, 'other side closed'));
     }
@@ -144,7 +144,7 @@
         );
       }),
     sends,
-    ends,
+    crashes,
     crash: (index) => stopEngine(index, undefined),
   };
 }
--- a/src/test/end-to-end.test.ts
+++ b/src/test/end-to-end.test.ts
@@ -1,7 +1,7 @@
 /** End-to-end tests of callers' requests and operators' commands against separate processes. */
 import test from 'ava';
 import { createCompletionClient } from '../load/completion-client.js';
-import { buildAnswer } from '../standin/answer.js';
+import { buildCompletion } from '../standin/completion.js';
 import { describe } from './describe.js';
 import { fetchStatus, sendRequest } from './http.js';
 import { startProcessFleet, TEST_KEY, TEST_MODEL } from './process-fleet.js';
@@ -58,7 +58,7 @@
       );
       results.forEach((result, index) => {
         t.true(result.isWhole);
-        t.is(result.text, buildAnswer(prompts[index] ?? '', RESPONSE_TOKENS_MAX));
+        t.is(result.text, buildCompletion(prompts[index] ?? '', RESPONSE_TOKENS_MAX));
       });
     });
 
@@ -66,7 +66,10 @@
       const response = await sendCompletion(COMPLETION_REQUEST);
       t.is(response.status, 200);
       const body = response.json as { choices: { message: { content: string } }[] };
-      t.is(body.choices[0]?.message.content, buildAnswer('a part [length:6]', RESPONSE_TOKENS_MAX));
+      t.is(
+        body.choices[0]?.message.content,
+        buildCompletion('a part [length:6]', RESPONSE_TOKENS_MAX),
+      );
       t.truthy(response.headers['x-hyssoptally-request-id']);
     });
 
--- a/src/test/failures.test.ts
+++ b/src/test/failures.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import { request } from 'undici';
 import { createCompletionClient } from '../load/completion-client.js';
-import { buildAnswer } from '../standin/answer.js';
+import { buildCompletion } from '../standin/completion.js';
 import { describe } from './describe.js';
 import { fetchStatus, sendRequest, setFaults, waitFor } from './http.js';
 import type { HttpResponse } from './http.js';
@@ -133,7 +133,7 @@
     const fleet = await startFleet({ stepMs: 20 });
     const result = await sendWithEngineSignal(fleet, 'SIGKILL');
     t.true(result.isWhole);
-    t.is(result.text, buildAnswer(LONG_PROMPT, RESPONSE_TOKENS_MAX));
+    t.is(result.text, buildCompletion(LONG_PROMPT, RESPONSE_TOKENS_MAX));
     t.is(await countInvariantBreaches(fleet, [0, 1]), 0);
   });
 
@@ -144,7 +144,7 @@
     await sendWarmUpRequests(fleet);
     const result = await sendWithEngineSignal(fleet, 'SIGSTOP');
     t.true(result.isWhole);
-    t.is(result.text, buildAnswer(LONG_PROMPT, RESPONSE_TOKENS_MAX));
+    t.is(result.text, buildCompletion(LONG_PROMPT, RESPONSE_TOKENS_MAX));
   });
 
   it('open connections that silently drop all data', async (t) => {
@@ -153,13 +153,13 @@
     const fleet = await startFleet({ stepMs: 20, hasRelays: true });
     await sendWarmUpRequests(fleet);
     const result = await sendWithFault(fleet, () => {
-      for (const relay of fleet.relays) relay.silenceOpen();
+      for (const relay of fleet.relays) relay.stallOpenConnections();
     });
     t.true(result.isWhole, result.errorType);
-    t.is(result.text, buildAnswer(LONG_PROMPT, RESPONSE_TOKENS_MAX));
+    t.is(result.text, buildCompletion(LONG_PROMPT, RESPONSE_TOKENS_MAX));
     const prompt = 'after that [length:5]';
     const next = await sendCompletion(fleet, 1, prompt);
-    t.is(next.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is(next.text, buildCompletion(prompt, RESPONSE_TOKENS_MAX));
   });
 
   it('misrouted, duplicated and reordered frames', async (t) => {
@@ -174,7 +174,7 @@
     );
     results.forEach((result, index) => {
       t.true(result.isWhole);
-      t.is(result.text, buildAnswer(prompts[index] ?? '', RESPONSE_TOKENS_MAX));
+      t.is(result.text, buildCompletion(prompts[index] ?? '', RESPONSE_TOKENS_MAX));
     });
   });
 
@@ -185,7 +185,7 @@
     const prompt = 'a consignment note [length:30]';
     const result = await sendCompletion(fleet, 0, prompt);
     t.true(result.isWhole);
-    t.is(result.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is(result.text, buildCompletion(prompt, RESPONSE_TOKENS_MAX));
   });
 
   it('a non-repeatable request whose response is lost', async (t) => {
@@ -230,7 +230,10 @@
     t.truthy(refused.headers['retry-after']);
     t.is(await countRuns(fleet, key), 0);
     const prompt = 'still served [length:8]';
-    t.is((await sendCompletion(fleet, 1, prompt)).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is(
+      (await sendCompletion(fleet, 1, prompt)).text,
+      buildCompletion(prompt, RESPONSE_TOKENS_MAX),
+    );
     await setFaults(fleet.platform.addresses.url ?? '', { isDown: false });
     t.is((await sendOrder(fleet, 0, key)).status, 200);
     t.is(await countRuns(fleet, key), 1);
@@ -296,7 +299,7 @@
     fleet.routers[ownerIndex]?.sendSignal('SIGCONT');
     results.forEach((result, position) => {
       t.true(result.isWhole, result.errorType);
-      t.is(result.text, buildAnswer(prompts[position] ?? '', RESPONSE_TOKENS_MAX));
+      t.is(result.text, buildCompletion(prompts[position] ?? '', RESPONSE_TOKENS_MAX));
     });
     await waitFor('the resumed instance lists all members as alive', async () => {
       const status = await fetchStatus(getOperatorUrl(fleet, ownerIndex));
@@ -327,7 +330,7 @@
     });
     const lateResult = await sendCompletion(fleet, 0, 'a late comer [length:5]');
     t.true(lateResult.isWhole);
-    t.is((await running).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is((await running).text, buildCompletion(prompt, RESPONSE_TOKENS_MAX));
     t.is((await order).status, 200);
     t.is(await fleet.routers[0]?.waitForExit(), 0);
   });
@@ -341,7 +344,7 @@
       setTimeout(resolve, 200);
     });
     fleet.routers[0]?.sendSignal('SIGTERM');
-    t.is((await running).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is((await running).text, buildCompletion(prompt, RESPONSE_TOKENS_MAX));
     t.is(await fleet.routers[0]?.waitForExit(), 0);
   });
 
@@ -375,7 +378,7 @@
       return { started, turnedAway };
     };
     t.deepEqual(readReceivedCounts(countsAfter), readReceivedCounts(countsBefore));
-    t.is((await running).text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is((await running).text, buildCompletion(prompt, RESPONSE_TOKENS_MAX));
   });
 
   it('an instance that starts during a platform outage after a configuration change', async (t) => {
@@ -440,7 +443,7 @@
       prompt,
       className: 'counter',
     });
-    t.is(result.text, buildAnswer(prompt, RESPONSE_TOKENS_MAX));
+    t.is(result.text, buildCompletion(prompt, RESPONSE_TOKENS_MAX));
     for (const controller of controllers) controller.abort();
     await Promise.all(unreadStreams);
   });
--- a/src/test/fleet-play.ts
+++ b/src/test/fleet-simulation.ts
@@ -12,13 +12,13 @@
 import type { RegisteredEndpoint, Route } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
 import type { Random } from '../utils/random.js';
-import { buildContacts, buildDataCentre } from './played-contacts.js';
-import { createPlayedInstance } from './played-instance.js';
-import type { PlayedInstance } from './played-instance.js';
-import { createPlayedNetwork } from './played-network.js';
-import type { PlayedNetwork } from './played-network.js';
-import { POOL, buildCall } from './played-routes.js';
-import type { PlayedRoute } from './played-routes.js';
+import { buildContacts, buildDataCentre } from './simulated-contacts.js';
+import { createSimulatedInstance } from './simulated-instance.js';
+import type { SimulatedInstance } from './simulated-instance.js';
+import { createSimulatedNetwork } from './simulated-network.js';
+import type { SimulatedNetwork } from './simulated-network.js';
+import { POOL, buildCall } from './simulated-routes.js';
+import type { SimulatedRoute } from './simulated-routes.js';
 import { createSimulatedEngine } from './simulated-engine.js';
 import type { SimulatedEngine } from './simulated-engine.js';
 
@@ -29,12 +29,12 @@
   readonly factor: number;
 }
 
-export interface PlayOptions {
+export interface FleetSimulationOptions {
   readonly seed: number;
   readonly engines: number;
   readonly slots: number;
   readonly queueMax: number;
-  readonly routes: readonly PlayedRoute[];
+  readonly routes: readonly SimulatedRoute[];
   /** Relative to the start of arrivals. */
   readonly burst: Burst;
   /** Duration of arrivals. */
@@ -53,11 +53,11 @@
    * Time for the instances to discover each other before calls arrive.
    * @default 0
    */
-  readonly settlingMs?: number;
+  readonly warmUpMs?: number;
 }
 
 /** The result of a call as its caller sees it. */
-export interface PlayedCall {
+export interface SimulatedCall {
   readonly route: string;
   /** Relative to the start of arrivals. */
   readonly receivedMs: number;
@@ -70,9 +70,9 @@
 }
 
 export interface FleetSimulationResult {
-  readonly calls: readonly PlayedCall[];
+  readonly calls: readonly SimulatedCall[];
   /** Mean absolute error of the running calls that an instance assumes for an engine. */
-  readonly meanBeliefError: number;
+  readonly meanLoadError: number;
   /** Attempts that an engine rejected because its queue was full. */
   readonly rejectedAttempts: number;
   /** Mean datagrams sent per instance and second. */
@@ -89,10 +89,10 @@
 const START_SPREAD_MS = 300;
 
 interface Simulation {
-  readonly options: PlayOptions;
+  readonly options: FleetSimulationOptions;
   readonly time: VirtualTime;
   readonly random: Random;
-  readonly network: PlayedNetwork;
+  readonly network: SimulatedNetwork;
   readonly engines: ReadonlyMap<string, SimulatedEngine>;
   readonly endpoints: readonly RegisteredEndpoint[];
   /** Calls by ID, since a request to an engine carries only the ID. */
@@ -108,7 +108,7 @@
   );
 }
 
-function buildEndpoints(options: PlayOptions): readonly RegisteredEndpoint[] {
+function buildEndpoints(options: FleetSimulationOptions): readonly RegisteredEndpoint[] {
   const { engines, slots } = options;
   return Array.from({ length: engines }, (_, index) => {
     const id = `engine-${index + 1}`;
@@ -141,22 +141,22 @@
 function startFleet(
   simulation: Simulation,
   onAttempt: (record: AttemptRecord) => void,
-): { readonly instances: readonly PlayedInstance[]; readonly timers: readonly TimerService[] } {
+): { readonly instances: readonly SimulatedInstance[]; readonly timers: readonly TimerService[] } {
   const { options, time, network, endpoints } = simulation;
   const contacts = buildContacts(options.instances ?? 1, options.dataCentres ?? 1);
-  const instances: PlayedInstance[] = [];
+  const instances: SimulatedInstance[] = [];
   const timers: TimerService[] = [];
   const startInstance = (self: Contact, index: number): void => {
     const instanceTimers = time.createTimers(createActor(self.name), 0);
     timers.push(instanceTimers);
-    const instance = createPlayedInstance({
+    const instance = createSimulatedInstance({
       self,
       contacts,
       timers: instanceTimers,
       random: createRandom(options.seed * 1000 + index),
       network,
       listOpen: () => endpoints,
-      standings: createRouteRanks(options.routes.map(({ route }) => route)),
+      ranks: createRouteRanks(options.routes.map(({ route }) => route)),
       connections: createConnections(simulation),
       takeTrialLease: () => Promise.resolve(false),
       checkConnection: () => Promise.resolve(CONNECTION_RESULT.Accepted),
@@ -178,10 +178,14 @@
 function createCallObserver(
   { time, arrivalsStartMs }: Simulation,
   { name, targetMs, gapTargetMs = Infinity }: Route,
-): { readonly result: PlayedCall; readonly sink: CallSink; setEnd(end: PlayedCall['end']): void } {
+): {
+  readonly result: SimulatedCall;
+  readonly sink: CallSink;
+  setEnd(end: SimulatedCall['end']): void;
+} {
   const startedMs = time.getNow();
   let lastMs: number | undefined;
-  const result: PlayedCall = {
+  const result: SimulatedCall = {
     route: name,
     receivedMs: startedMs - arrivalsStartMs,
     firstEventMs: undefined,
@@ -189,7 +193,7 @@
     end: 'none',
     isInTime: false,
   };
-  const setEnd = (end: PlayedCall['end']): void => {
+  const setEnd = (end: SimulatedCall['end']): void => {
     if (result.end !== 'none') return;
     const { firstEventMs = Infinity, maxGapMs } = result;
     result.end = end;
@@ -218,8 +222,8 @@
 function startCall(
   simulation: Simulation,
   runner: CallRunner,
-  simulatedRoute: PlayedRoute,
-): PlayedCall {
+  simulatedRoute: SimulatedRoute,
+): SimulatedCall {
   const { time, calls } = simulation;
   const { route } = simulatedRoute;
   const call = buildCall(simulatedRoute, `call-${calls.size}`, time.getNow(), simulation.random);
@@ -241,7 +245,7 @@
 /** Schedules the calls of a route as a Poisson process. */
 function addArrivals(
   { options, time, random, arrivalsStartMs }: Simulation,
-  simulatedRoute: PlayedRoute,
+  simulatedRoute: SimulatedRoute,
   start: () => void,
 ): void {
   const { burst } = options;
@@ -258,24 +262,26 @@
   addNext();
 }
 
-function createSimulation(options: PlayOptions): Simulation {
+function createSimulation(options: FleetSimulationOptions): Simulation {
   const time = createVirtualTime();
   const endpoints = buildEndpoints(options);
   return {
     options,
     time,
     random: createRandom(options.seed),
-    network: createPlayedNetwork(time, createRandom(options.seed + 1)),
+    network: createSimulatedNetwork(time, createRandom(options.seed + 1)),
     engines: new Map(
       endpoints.map(({ address }) => [address, createSimulatedEngine(time, options)]),
     ),
     endpoints,
     calls: new Map(),
-    arrivalsStartMs: options.settlingMs ?? 0,
+    arrivalsStartMs: options.warmUpMs ?? 0,
   };
 }
 
-export async function runFleetPlay(options: PlayOptions): Promise<FleetSimulationResult> {
+export async function runFleetSimulation(
+  options: FleetSimulationOptions,
+): Promise<FleetSimulationResult> {
   const simulation = createSimulation(options);
   const { time, network, engines, random, arrivalsStartMs } = simulation;
   let attempts = 0;
@@ -286,10 +292,10 @@
     totalLoadError += Math.abs(load.running - engine.count());
   });
   await time.runUntil(arrivalsStartMs);
-  const callResults: PlayedCall[] = [];
+  const callResults: SimulatedCall[] = [];
   for (const simulatedRoute of options.routes) {
     addArrivals(simulation, simulatedRoute, () => {
-      const { runner } = instances[random.nextIndex(instances.length)] as PlayedInstance;
+      const { runner } = instances[random.nextIndex(instances.length)] as SimulatedInstance;
       callResults.push(startCall(simulation, runner, simulatedRoute));
     });
   }
@@ -298,7 +304,7 @@
   const simulatedSeconds = (arrivalsStartMs + options.lengthMs + DRAIN_MS) / 1000;
   return {
     calls: callResults,
-    meanBeliefError: totalLoadError / Math.max(1, attempts),
+    meanLoadError: totalLoadError / Math.max(1, attempts),
     rejectedAttempts: [...engines.values()].reduce(
       (sum, engine) => sum + engine.countRejected(),
       0,
@@ -308,7 +314,9 @@
 }
 
 /** Runs the simulation and returns only the results of the calls. */
-export async function runPlay(options: PlayOptions): Promise<readonly PlayedCall[]> {
-  const { calls } = await runFleetPlay(options);
+export async function runSimulatedCalls(
+  options: FleetSimulationOptions,
+): Promise<readonly SimulatedCall[]> {
+  const { calls } = await runFleetSimulation(options);
   return calls;
 }
--- a/src/test/played-lease.ts
+++ b/src/test/lease-simulation.ts
@@ -5,7 +5,7 @@
 import type { VersionedLease } from '../leases/lease-document.js';
 import type { Random } from '../utils/random.js';
 
-export const LENGTH_MS = 3000;
+export const LEASE_DURATION_MS = 3000;
 /** Calls that arrive within this time after their sender resumed are not checked. */
 const RESUME_GRACE_MS = 300;
 const STEP_MS = 50;
@@ -18,7 +18,7 @@
 const EPOCH_MS = 1_700_000_000_000;
 
 /** Faults of a machine or of the store. */
-export const TROUBLE = {
+export const FAULT = {
   None: 'none',
   /** The process stops; both clocks advance. */
   Freeze: 'freeze',
@@ -43,11 +43,11 @@
   /** The lease document is deleted. */
   Erase: 'erase',
 } as const;
-export type Trouble = (typeof TROUBLE)[keyof typeof TROUBLE];
+export type Fault = (typeof FAULT)[keyof typeof FAULT];
 
-export interface PlayedStep {
+export interface SimulationStep {
   readonly machine: number;
-  readonly trouble: Trouble;
+  readonly fault: Fault;
 }
 
 export interface ReceivedCall {
@@ -59,7 +59,7 @@
 }
 
 /** Replaced by tests that check that a faulty lease is detected. */
-export interface LeaseParts {
+export interface LeaseImplementation {
   readonly createLease: typeof createLease;
 }
 
@@ -89,24 +89,24 @@
 }
 
 /** Runs a schedule and returns the received calls in order of arrival. */
-export function runLeasePlay(
+export function runLeaseSimulation(
   machineCount: number,
-  steps: readonly PlayedStep[],
+  steps: readonly SimulationStep[],
   random: Random,
-  parts: LeaseParts = { createLease },
+  parts: LeaseImplementation = { createLease },
 ): ReceivedCall[] {
   const received: ReceivedCall[] = [];
   let delayedActions: DelayedAction[] = [];
   let storedLease: VersionedLease | undefined;
   let revision = 1;
-  let storeState: Trouble = TROUBLE.StoreHealthy;
+  let storeState: Fault = FAULT.StoreHealthy;
   let nowMs = 0;
 
   function createProcess(name: string, generation: number): Lease {
     let writes = 0;
     return parts.createLease({
       holder: name,
-      timings: computeLeaseTimings(LENGTH_MS),
+      timings: computeLeaseTimings(LEASE_DURATION_MS),
       createWriteId() {
         writes += 1;
         return `${name}-${generation}-${writes}`;
@@ -145,7 +145,7 @@
   }
 
   function computeStoreLatencyMs(): number {
-    if (storeState === TROUBLE.StoreSlow) return random.next() * STORE_LATENCY_MAX_MS;
+    if (storeState === FAULT.StoreSlow) return random.next() * STORE_LATENCY_MAX_MS;
     return random.next() * 10;
   }
 
@@ -166,8 +166,8 @@
 
   function sendCommand(machine: Machine, command: LeaseCommand): void {
     const { generation } = machine;
-    if (machine.isCutFromStore || storeState === TROUBLE.StoreUnavailable) return;
-    const isLost = storeState === TROUBLE.StoreLosingResponses && random.next() < 0.4;
+    if (machine.isCutFromStore || storeState === FAULT.StoreUnavailable) return;
+    const isLost = storeState === FAULT.StoreLosingResponses && random.next() < 0.4;
     addDelayed(computeStoreLatencyMs(), () => {
       if (command.kind === 'read') {
         const message = { kind: 'read', lease: storedLease, newestVersion: revision } as const;
@@ -250,57 +250,57 @@
     if (!machine.isSuspended) machine.wallStepMs = ms;
   }
 
-  function applyTrouble(machine: Machine, trouble: Trouble): void {
-    switch (trouble) {
-      case TROUBLE.Freeze:
+  function applyFault(machine: Machine, fault: Fault): void {
+    switch (fault) {
+      case FAULT.Freeze:
         machine.isFrozen = true;
         break;
-      case TROUBLE.Suspend:
+      case FAULT.Suspend:
         machine.isFrozen = true;
         machine.isSuspended = true;
         break;
-      case TROUBLE.Wake:
+      case FAULT.Wake:
         stopFreeze(machine);
         break;
-      case TROUBLE.Kill:
+      case FAULT.Kill:
         stopProcess(machine, random.next() * 1500);
         break;
-      case TROUBLE.Drain:
+      case FAULT.Drain:
         machine.isLeaving = true;
         addDelayed(DRAIN_MIN_MS + random.next() * 1000, () => {
           if (machine.isLeaving) stopProcess(machine, 300);
         });
         break;
-      case TROUBLE.Yield:
+      case FAULT.Yield:
         machine.isLeaving = true;
         addDelayed(300 + random.next() * 600, () => {
           machine.isLeaving = false;
         });
         break;
-      case TROUBLE.CutFromStore:
+      case FAULT.CutFromStore:
         machine.isCutFromStore = true;
         break;
-      case TROUBLE.CutFromReceiver:
+      case FAULT.CutFromReceiver:
         machine.isCutFromReceiver = true;
         break;
-      case TROUBLE.Heal:
+      case FAULT.Heal:
         machine.isCutFromStore = false;
         machine.isCutFromReceiver = false;
         break;
-      case TROUBLE.StepForward:
+      case FAULT.StepForward:
         setWallStep(machine, 2400);
         break;
-      case TROUBLE.StepBack:
+      case FAULT.StepBack:
         setWallStep(machine, -2400);
         break;
-      case TROUBLE.Erase:
+      case FAULT.Erase:
         revision += 1;
         storedLease = undefined;
         break;
-      case TROUBLE.None:
+      case FAULT.None:
         break;
       default:
-        storeState = trouble;
+        storeState = fault;
         break;
     }
   }
@@ -311,10 +311,10 @@
     due.forEach(({ run }) => run());
   }
 
-  steps.forEach(({ machine, trouble }, step) => {
+  steps.forEach(({ machine, fault }, step) => {
     nowMs += STEP_MS;
     for (const each of machines) if (!each.isSuspended) each.monotonicMs += STEP_MS;
-    applyTrouble(machines[machine % machineCount] as Machine, trouble);
+    applyFault(machines[machine % machineCount] as Machine, fault);
     runDelayed();
     for (const each of machines) runMachine(each, step);
   });
@@ -322,7 +322,7 @@
 }
 
 /** Finds a fence that decreased or was shared, or a holder that returned within one lease duration of another. */
-export function findBreach(calls: readonly ReceivedCall[]): string | undefined {
+export function findLeaseViolation(calls: readonly ReceivedCall[]): string | undefined {
   const checkedCalls = calls.filter(({ isInGracePeriod: isExcused }) => !isExcused);
   const machineByFence = new Map<number, string>();
   let highest = 0;
@@ -336,7 +336,7 @@
   /** Calls of the last lease duration. */
   let recentCalls: ReceivedCall[] = [];
   for (const call of checkedCalls) {
-    recentCalls = recentCalls.filter(({ atMs }) => call.atMs - atMs <= LENGTH_MS);
+    recentCalls = recentCalls.filter(({ atMs }) => call.atMs - atMs <= LEASE_DURATION_MS);
     const lastOwnCall = recentCalls.findLastIndex(({ machine }) => machine === call.machine);
     if (
       lastOwnCall >= 0 &&
--- a/src/test/load-shares.ts
+++ b/src/test/load-shares.ts
@@ -3,7 +3,7 @@
 import type { EndpointLoadShare } from '../placement/remote-loads.js';
 
 /** Builds the load share of an idle endpoint, overridden by the given fields. */
-export function buildShare({
+export function buildLoadShare({
   endpoint = 'a',
   ...share
 }: Omit<Partial<EndpointLoadShare>, 'endpoint'> & {
--- a/src/test/relay.ts
+++ b/src/test/relay.ts
@@ -5,7 +5,7 @@
 export interface Relay {
   readonly url: string;
   /** Stops forwarding on the connections open now, without closing them; new ones work. */
-  silenceOpen(): void;
+  stallOpenConnections(): void;
   close(): Promise<void>;
 }
 
@@ -40,7 +40,7 @@
   const { port } = server.address() as AddressInfo;
   return {
     url: `http://127.0.0.1:${port}`,
-    silenceOpen() {
+    stallOpenConnections() {
       for (const socket of sockets) stalledSockets.add(socket);
     },
     close: () =>
--- a/src/test/played-instance.ts
+++ b/src/test/simulated-instance.ts
@@ -20,7 +20,7 @@
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import type { Random } from '../utils/random.js';
 import { Ok } from '../utils/result.js';
-import type { PlayedNetwork } from './played-network.js';
+import type { SimulatedNetwork } from './simulated-network.js';
 import { QUEUE_FULL_STATUS } from './simulated-engine.js';
 
 export interface SimulatedInstanceOptions {
@@ -29,17 +29,17 @@
   readonly contacts: readonly Contact[];
   readonly timers: TimerService;
   readonly random: Random;
-  readonly network: PlayedNetwork;
+  readonly network: SimulatedNetwork;
   /** Lists the endpoints in the registry. */
   readonly listOpen: () => readonly RegisteredEndpoint[];
-  readonly standings: RouteRanks;
+  readonly ranks: RouteRanks;
   readonly connections: EndpointConnections;
   readonly takeTrialLease: TakeTrialLease;
   readonly checkConnection: (address: string) => Promise<ConnectionResult>;
   readonly onAttempt: (record: AttemptRecord) => void;
 }
 
-export interface PlayedInstance {
+export interface SimulatedInstance {
   readonly runner: CallRunner;
   readonly exchange: PeerExchange;
   readonly quarantine: Quarantine;
@@ -63,8 +63,8 @@
   }),
 };
 
-export function createPlayedInstance(options: SimulatedInstanceOptions): PlayedInstance {
-  const { self, timers, random, network, listOpen, standings } = options;
+export function createSimulatedInstance(options: SimulatedInstanceOptions): SimulatedInstance {
+  const { self, timers, random, network, listOpen, ranks } = options;
   const loads = createEndpointLoads();
   const quarantine = createQuarantine({
     checkConnection: options.checkConnection,
@@ -109,7 +109,7 @@
       loads,
       random,
       listOpen,
-      getStanding: (route, pool) => standings.get(route, pool),
+      getRouteRank: (route, pool) => ranks.get(route, pool),
       isDataCentreUnreachable: (dataCentre) => exchange.isDataCentreUnreachable(dataCentre),
       isAvoided: (endpoint) => quarantine.isInTrial(endpoint),
     }),
--- a/src/test/played-network.ts
+++ b/src/test/simulated-network.ts
@@ -14,7 +14,7 @@
 const DELAY_SPREAD_MS = 3;
 const LOSS_PROBABILITY = 0.01;
 
-export interface PlayedNetwork {
+export interface SimulatedNetwork {
   add(address: string, exchange: PeerExchange): void;
   createLinks(self: Contact): PeerLinks;
   createDatagrams(
@@ -24,7 +24,7 @@
   countSent(): number;
 }
 
-export function createPlayedNetwork(time: VirtualTime, random: Random): PlayedNetwork {
+export function createSimulatedNetwork(time: VirtualTime, random: Random): SimulatedNetwork {
   const peers = new Map<string, PeerExchange>();
   let sent = 0;
 
--- a/src/test/played-routes.ts
+++ b/src/test/simulated-routes.ts
@@ -5,20 +5,20 @@
 import type { Random } from '../utils/random.js';
 
 /** A route and the distribution of its calls. */
-export interface PlayedRoute {
+export interface SimulatedRoute {
   readonly route: Route;
   /** Prompt tokens of the prefix that a call shares with others. */
   readonly sharedTokens: number;
   /** Prompt tokens that only this call has. */
   readonly ownTokens: number;
   /** Mean output tokens of a call. */
-  readonly answerTokens: number;
+  readonly outputTokens: number;
   readonly callsPerSecond: number;
   /**
    * Distinct shared prefixes among the calls.
    * @default 6
    */
-  readonly sharedParts?: number;
+  readonly sharedPrefixes?: number;
 }
 
 export const POOL = 'engines';
@@ -27,7 +27,7 @@
 const OUTPUT_FACTOR_MIN = 0.4;
 const OUTPUT_FACTOR_SPREAD = 1.2;
 
-export function buildPlayedRoute(name: string, route: Partial<Route>): Route {
+export function buildSimulatedRoute(name: string, route: Partial<Route>): Route {
   return {
     name,
     host: 'h',
@@ -46,7 +46,7 @@
 
 /** Builds a call of a route with a random output length and shared prefix. */
 export function buildCall(
-  simulatedRoute: PlayedRoute,
+  simulatedRoute: SimulatedRoute,
   callId: string,
   receivedMs: number,
   random: Random,
@@ -55,10 +55,10 @@
     route,
     sharedTokens,
     ownTokens,
-    answerTokens,
-    sharedParts = DEFAULT_SHARED_PREFIXES,
+    outputTokens,
+    sharedPrefixes = DEFAULT_SHARED_PREFIXES,
   } = simulatedRoute;
-  const prefixIndex = random.nextIndex(sharedParts);
+  const prefixIndex = random.nextIndex(sharedPrefixes);
   const outputFactor = OUTPUT_FACTOR_MIN + random.next() * OUTPUT_FACTOR_SPREAD;
   return {
     callId,
@@ -71,7 +71,7 @@
     prompt: {
       model: 'm',
       inputTokens: sharedTokens + ownTokens,
-      outputTokensMax: Math.max(1, Math.round(answerTokens * outputFactor)),
+      outputTokensMax: Math.max(1, Math.round(outputTokens * outputFactor)),
       parts: [
         { id: `${route.name}-${prefixIndex}`, tokens: sharedTokens },
         { id: callId, tokens: ownTokens },
@@ -87,33 +87,33 @@
 export interface RouteMix {
   readonly engines: number;
   /** The gap target of the lookup route. */
-  readonly lookupGapMs: number;
+  readonly lookupGapTargetMs: number;
   /** Distinct shared prefixes of each route. */
-  readonly sharedParts: number;
+  readonly sharedPrefixes: number;
 }
 
 /** Builds a mix of lookups, drafts and long histories that loads the engines to about a third. */
 export function buildMixedRoutes({
   engines,
-  lookupGapMs,
-  sharedParts,
-}: RouteMix): readonly PlayedRoute[] {
+  lookupGapTargetMs,
+  sharedPrefixes,
+}: RouteMix): readonly SimulatedRoute[] {
   return [
     {
-      route: buildPlayedRoute('lookup', {
+      route: buildSimulatedRoute('lookup', {
         priority: 0,
         targetMs: 250,
-        gapTargetMs: lookupGapMs,
+        gapTargetMs: lookupGapTargetMs,
         timeoutMs: 8000,
       }),
       sharedTokens: 350,
       ownTokens: 1110,
-      answerTokens: 170,
+      outputTokens: 170,
       callsPerSecond: 1.4 * engines,
-      sharedParts,
+      sharedPrefixes,
     },
     {
-      route: buildPlayedRoute('draft', {
+      route: buildSimulatedRoute('draft', {
         priority: 1,
         targetMs: 400,
         gapTargetMs: 250,
@@ -121,12 +121,12 @@
       }),
       sharedTokens: 6300,
       ownTokens: 2890,
-      answerTokens: 50,
+      outputTokens: 50,
       callsPerSecond: engines,
-      sharedParts,
+      sharedPrefixes,
     },
     {
-      route: buildPlayedRoute('history', {
+      route: buildSimulatedRoute('history', {
         priority: 2,
         targetMs: 1500,
         gapTargetMs: 600,
@@ -134,9 +134,9 @@
       }),
       sharedTokens: 13_300,
       ownTokens: 3720,
-      answerTokens: 120,
+      outputTokens: 120,
       callsPerSecond: 2.8 * engines,
-      sharedParts,
+      sharedPrefixes,
     },
   ];
 }
