--- a/src/calls/attempt-reader.ts
+++ b/src/calls/attempt-reader.ts
@@ -3,7 +3,7 @@
  * to the call, that it is complete, and whether the endpoint ran the call.
  */
 import type { ResponseHead, AttemptEnd, HeaderField } from './call-messages.js';
-import { RESPONSE_BYTES_MAX } from './call-limits.js';
+import { RESPONSE_BYTES_MAX } from './response-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
 
--- a/src/calls/call-runner.ts
+++ b/src/calls/call-runner.ts
@@ -4,8 +4,8 @@
 import type { Placement } from '../placement/choose-endpoint.js';
 import { ENDPOINT_VERDICT } from '../placement/endpoint-loads.js';
 import type { EndpointLoads, LoadTicket } from '../placement/endpoint-loads.js';
-import { ADMISSION, compareWaiting } from '../placement/hold-back.js';
-import type { WaitingCall } from '../placement/hold-back.js';
+import { ADMISSION, compareWaiting } from '../placement/admission-decision.js';
+import type { WaitingCall } from '../placement/admission-decision.js';
 import type { Placer } from '../placement/placer.js';
 import type { AttemptWatch, Quarantine } from '../quarantine/quarantine.js';
 import type { TimerService, Unsubscribe } from '../runtime/timer-service.js';
@@ -20,7 +20,7 @@
 } from './attempt-policy.js';
 import { createAttemptReader } from './attempt-reader.js';
 import { createCallStateMachine } from './call-state-machine.js';
-import { computeConnectionsMax } from './connection-share.js';
+import { computeConnectionsMax } from './connection-limit.js';
 import type { CallStateMachine } from './call-state-machine.js';
 import type {
   AttemptEnd,
--- a/src/calls/event-splitter.test.ts
+++ b/src/calls/event-splitter.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
-import { EVENT_BYTES_MAX } from './call-limits.js';
+import { EVENT_BYTES_MAX } from './response-limits.js';
 import { createEventSplitter } from './event-splitter.js';
 
 describe('event splitter', ({ it }) => {
--- a/src/calls/event-splitter.ts
+++ b/src/calls/event-splitter.ts
@@ -2,7 +2,7 @@
  * Splits a stream of server-sent events at event boundaries without changing any byte. Returns only
  * complete events, so that a resumed stream is never joined to a partial event.
  */
-import { EVENT_BYTES_MAX } from './call-limits.js';
+import { EVENT_BYTES_MAX } from './response-limits.js';
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
--- a/src/duties/fleet-duties.ts
+++ b/src/duties/fleet-duties.ts
@@ -5,7 +5,7 @@
 import { createLease } from '../leases/lease.js';
 import type { Grant, LeaseCommand, LeaseMessage, ClockReading } from '../leases/lease.js';
 import type { LeaseDocument } from '../leases/lease-document.js';
-import { computeLeaseTimings } from '../leases/lease-bounds.js';
+import { computeLeaseTimings } from '../leases/lease-timings.js';
 import type { TimerService } from '../runtime/timer-service.js';
 import { assertNever } from '../utils/assert-never.js';
 import type { Random } from '../utils/random.js';
@@ -17,7 +17,7 @@
 import { decodeEpoch, decodeLease, encodeEpoch } from './duty-rows.js';
 import { createPoolScaler } from './pool-scaler.js';
 import type { ScalerCommand, ScalerMessage, PoolLoad } from './pool-scaler.js';
-import type { FleetTime } from './true-time.js';
+import type { FleetTime } from './fleet-time.js';
 import type { UsageMeter } from './usage-meter.js';
 import { createUsageReporter } from './usage-reporter.js';
 import type { UsageCommand, UsageMessage } from './usage-reporter.js';
--- a/src/duties/true-time.test.ts
+++ b/src/duties/fleet-time.test.ts
@@ -1,5 +1,5 @@
 import { describe } from '../test/describe.js';
-import { createFleetTime } from './true-time.js';
+import { createFleetTime } from './fleet-time.js';
 
 describe('fleet time', ({ it }) => {
   it('is known once a source reading and the epoch are known', (t) => {
--- a/src/duties/usage-meter.test.ts
+++ b/src/duties/usage-meter.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe } from '../test/describe.js';
-import { createFleetTime } from './true-time.js';
+import { createFleetTime } from './fleet-time.js';
 import { createUsageLedger } from './usage-ledger.js';
 import { createUsageMeter } from './usage-meter.js';
 import type { UsageUpdate } from './usage-meter.js';
--- a/src/duties/usage-meter.ts
+++ b/src/duties/usage-meter.ts
@@ -5,7 +5,7 @@
  * Each update contains only counts that changed. Each change is sent several times, since datagrams
  * may be lost.
  */
-import type { FleetTime } from './true-time.js';
+import type { FleetTime } from './fleet-time.js';
 import { createUsageLedger } from './usage-ledger.js';
 import type { UsageCount, UsageLedger, WindowCounts } from './usage-ledger.js';
 
--- a/src/gateway/gateway-duties.ts
+++ b/src/gateway/gateway-duties.ts
@@ -8,7 +8,7 @@
 import type { FleetDuties } from '../duties/fleet-duties.js';
 import type { PoolLoad } from '../duties/pool-scaler.js';
 import type { RunningCount } from '../duties/pool-sizing.js';
-import type { FleetTime } from '../duties/true-time.js';
+import type { FleetTime } from '../duties/fleet-time.js';
 import { createUsageMeter } from '../duties/usage-meter.js';
 import type { UsageUpdate } from '../duties/usage-meter.js';
 import type { FeedReader } from '../knowledge/feed.js';
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -9,7 +9,7 @@
 import type { CallRunner, RunningCall } from '../calls/call-runner.js';
 import type { EndpointConnections } from '../calls/endpoint-connections.js';
 import type { EndpointProtocol } from '../calls/endpoint-protocol.js';
-import { createFleetTime } from '../duties/true-time.js';
+import { createFleetTime } from '../duties/fleet-time.js';
 import type { DutyStatus } from '../duties/fleet-duties.js';
 import type { UsageUpdate } from '../duties/usage-meter.js';
 import type { FetchKnowledgeRequest, FetchKnowledgeResponse, PeerMessage } from '../gen/peer_pb.js';
--- a/src/gateway/peer-exchange.ts
+++ b/src/gateway/peer-exchange.ts
@@ -2,7 +2,7 @@
  * Communication between instances: membership, exchange of endpoint loads and usage counts, and fetches
  * of table contents that other instances have and this one lacks.
  */
-import type { FleetTime } from '../duties/true-time.js';
+import type { FleetTime } from '../duties/fleet-time.js';
 import type { UsageUpdate } from '../duties/usage-meter.js';
 import { createWatchRoleSelector, listWatchers } from '../knowledge/watch-role.js';
 import { LOAD_UPDATE_PERIOD_MS, createLoadExchange } from '../load-sharing/load-exchange.js';
--- a/src/leases/lease.ts
+++ b/src/leases/lease.ts
@@ -8,7 +8,7 @@
  * monotonic clocks diverge, since a monotonic clock may stop while a machine is suspended.
  */
 import { assertNever } from '../utils/assert-never.js';
-import type { LeaseTimings } from './lease-bounds.js';
+import type { LeaseTimings } from './lease-timings.js';
 import type { LeaseDocument, VersionedLease } from './lease-document.js';
 
 /** Previous holders recorded in a document. */
--- a/src/load-sharing/load-exchange.ts
+++ b/src/load-sharing/load-exchange.ts
@@ -10,8 +10,8 @@
 import { createRemoteLoads, mergeShares } from '../placement/remote-loads.js';
 import type { EndpointLoadShare } from '../placement/remote-loads.js';
 import { assertNever } from '../utils/assert-never.js';
-import { chooseAggregators, listAggregatorsFor } from './choose-heads.js';
-import type { LoadMember } from './choose-heads.js';
+import { chooseAggregators, listAggregatorsFor } from './choose-aggregators.js';
+import type { LoadMember } from './choose-aggregators.js';
 import { LOAD_SCOPE } from './load-update.js';
 import type { AddressedLoadUpdate, ReceivedLoadUpdate } from './load-update.js';
 
--- a/src/orders/order-lease.ts
+++ b/src/orders/order-lease.ts
@@ -1,5 +1,5 @@
 /** The lease that allows one instance to send model orders to a shard's engines. */
-import type { LeaseTimings } from '../leases/lease-bounds.js';
+import type { LeaseTimings } from '../leases/lease-timings.js';
 
 /** Timeout of an order. */
 export const ORDER_TIMEOUT_MS = 3000;
--- a/src/peers/datagrams.ts
+++ b/src/peers/datagrams.ts
@@ -7,7 +7,7 @@
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { DatagramSchema } from '../gen/peer_pb.js';
 import type { Datagram, PeerMessage, TellLoad } from '../gen/peer_pb.js';
-import type { PeerTime } from '../duties/true-time.js';
+import type { PeerTime } from '../duties/fleet-time.js';
 import type { UsageUpdate } from '../duties/usage-meter.js';
 import type { AddressedLoadUpdate } from '../load-sharing/load-update.js';
 import type { CaseReport } from '../quarantine/case-ledger.js';
--- a/src/peers/encode-load-update.ts
+++ b/src/peers/encode-load-update.ts
@@ -8,7 +8,7 @@
 import { LOAD_SCOPE } from '../load-sharing/load-update.js';
 import type { LoadScope as Scope, LoadUpdate } from '../load-sharing/load-update.js';
 import type { EndpointLoadShare } from '../placement/remote-loads.js';
-import type { PeerTime } from '../duties/true-time.js';
+import type { PeerTime } from '../duties/fleet-time.js';
 import type { KnowledgeSummary } from './peer-links.js';
 import type { PeerStatus } from './peer-status.js';
 
--- a/src/placement/hold-back.test.ts
+++ b/src/placement/admission-decision.test.ts
@@ -1,6 +1,6 @@
 import { describe } from '../test/describe.js';
-import { ADMISSION, chooseAdmission, compareWaiting } from './hold-back.js';
-import type { AdmissionInput, WaitingCall } from './hold-back.js';
+import { ADMISSION, chooseAdmission, compareWaiting } from './admission-decision.js';
+import type { AdmissionInput, WaitingCall } from './admission-decision.js';
 
 const CALL: AdmissionInput = {
   rank: 2,
--- a/src/placement/stream-pace.test.ts
+++ b/src/placement/pause-model.test.ts
@@ -1,6 +1,6 @@
 import { describe } from '../test/describe.js';
-import { createPauseModel } from './stream-pace.js';
-import type { PauseModel } from './stream-pace.js';
+import { createPauseModel } from './pause-model.js';
+import type { PauseModel } from './pause-model.js';
 
 /** Duration of a decoding step without calls, its increase per call, and steps per event. */
 const STEP_MS = 3.4;
--- a/src/placement/placer.test.ts
+++ b/src/placement/placer.test.ts
@@ -4,7 +4,7 @@
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { createRandom } from '../utils/random.js';
 import { createEndpointLoads } from './endpoint-loads.js';
-import { ADMISSION } from './hold-back.js';
+import { ADMISSION } from './admission-decision.js';
 import { createPlacer } from './placer.js';
 
 const ENGINE: RegisteredEndpoint = {
--- a/src/placement/reading-pace.test.ts
+++ b/src/placement/prefill-slowdown.test.ts
@@ -3,7 +3,7 @@
 import type { RegisteredEndpoint } from '../types/traffic.js';
 import { ENDPOINT_VERDICT, createEndpointLoads } from './endpoint-loads.js';
 import type { EndpointLoads } from './endpoint-loads.js';
-import { createPrefillFit } from './reading-fit.js';
+import { createPrefillFit } from './prefill-fit.js';
 
 /** Part of the time to the first event that does not depend on the prompt. */
 const FIXED_MS = 45;
--- a/src/placement/reading-pace.ts
+++ b/src/placement/prefill-slowdown.ts
@@ -7,7 +7,7 @@
  */
 import { createDecayingSums } from '../utils/decaying-sums.js';
 import type { DecayingSums } from '../utils/decaying-sums.js';
-import type { PrefillSpeed } from './reading-fit.js';
+import type { PrefillSpeed } from './prefill-fit.js';
 
 /** Tokens read by an engine and the time taken, with exponential decay. */
 export interface PrefillSums {
--- a/src/placement/remote-loads.ts
+++ b/src/placement/remote-loads.ts
@@ -3,8 +3,8 @@
  * a lookup does not depend on the size of the fleet.
  */
 import { hashName } from '../utils/hash.js';
-import type { FailureCounts } from './failure-shares.js';
-import type { PrefillSums } from './reading-pace.js';
+import type { FailureCounts } from './failure-rate.js';
+import type { PrefillSums } from './prefill-slowdown.js';
 
 /** Calls in progress at one endpoint. */
 export interface EndpointLoad {
--- a/src/test/lease-simulation.ts
+++ b/src/test/lease-simulation.ts
@@ -1,5 +1,5 @@
 /** Simulates machines that compete for one lease, and checks the fencing tokens that the receiver of their calls gets. */
-import { computeLeaseTimings } from '../leases/lease-bounds.js';
+import { computeLeaseTimings } from '../leases/lease-timings.js';
 import { createLease } from '../leases/lease.js';
 import type { Lease, LeaseCommand, LeaseMessage, ClockReading } from '../leases/lease.js';
 import type { VersionedLease } from '../leases/lease-document.js';
--- a/src/test/simulated-instance.ts
+++ b/src/test/simulated-instance.ts
@@ -4,7 +4,7 @@
 import type { AttemptRecord } from '../calls/call-records.js';
 import type { EndpointConnections } from '../calls/endpoint-connections.js';
 import type { EndpointProtocol } from '../calls/endpoint-protocol.js';
-import { createFleetTime } from '../duties/true-time.js';
+import { createFleetTime } from '../duties/fleet-time.js';
 import { createPeerExchange } from '../gateway/peer-exchange.js';
 import type { PeerExchange } from '../gateway/peer-exchange.js';
 import type { Contact } from '../membership/membership-messages.js';
